--- a/crates/core/src/holding.rs
+++ b/crates/core/src/holding.rs
@@ -35,7 +35,7 @@
 
 /// Longest time to hold a request that has so much time left, and whose caller stays
 /// for `patience` more without an answer, if that is known.
-pub fn longest_hold(left: Duration, patience: Option<Duration>) -> Duration {
+pub fn max_hold(left: Duration, patience: Option<Duration>) -> Duration {
     patience.map_or(left, |patience| left.min(patience)).mul_f64(HELD_PART)
 }
 
@@ -47,13 +47,13 @@
 
 /// How requests ended that were held, by service.
 #[derive(Debug, Default)]
-pub struct HeldOutcomes {
+pub struct HoldOutcomes {
     services: HashMap<Arc<str>, Outcomes>,
 }
 
-impl HeldOutcomes {
+impl HoldOutcomes {
     /// Whether to hold a request; `draw` is a random number from 0 to 1.
-    pub fn is_worth_while(&self, now: Instant, service: &str, draw: f64) -> bool {
+    pub fn should_hold(&self, now: Instant, service: &str, draw: f64) -> bool {
         let fresh = self.services.get(service).filter(|outcomes| now.since(outcomes.at) < MEMORY);
         fresh.is_none_or(|outcomes| outcomes.served >= LEAST_SERVED || draw * 100.0 < PROBES_IN_HUNDRED)
     }
--- a/crates/core/src/key_life.rs
+++ b/crates/core/src/key_life.rs
@@ -4,21 +4,21 @@
 //! snapshot. The node can't hear of it; so it accepts keys for a bounded time only, counted
 //! from when the store last confirmed the snapshot, however late it was taken from a disk.
 
-use crate::start_snapshot::LONGEST_AGE;
+use crate::start_snapshot::MAX_SNAPSHOT_AGE;
 use crate::time::Instant;
 use std::time::Duration;
 
 /// How long the keys of the table in force are accepted.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct KeyLife {
+pub struct KeyAcceptance {
     /// `None` for the keys that a source told this process.
     until: Option<Instant>,
 }
 
-impl KeyLife {
+impl KeyAcceptance {
     /// The table was kept on a disk; the store confirmed it so long ago.
-    pub fn note_kept(&mut self, now: Instant, age: Duration) {
-        self.until = Some(now + LONGEST_AGE.saturating_sub(age));
+    pub fn note_snapshot_used(&mut self, now: Instant, age: Duration) {
+        self.until = Some(now + MAX_SNAPSHOT_AGE.saturating_sub(age));
     }
 
     /// A source has told what the table is now.
--- a/crates/core/src/leasing.rs
+++ b/crates/core/src/leasing.rs
@@ -36,7 +36,7 @@
 /// Time for which a holder tells, and a leader remembers, that a request was given up:
 /// more than a group is without a leader in an election that is repeated several times
 /// (2.4 s each), and than a message may be under way (6 s).
-pub const UNANSWERED_TIME: Duration = Duration::from_secs(30);
+pub const ABANDONED_REPORT_TIME: Duration = Duration::from_secs(30);
 /// Most items in one grant of one job.
 const CHUNK_ITEMS: usize = 64;
 
@@ -183,15 +183,15 @@
     }
 
     /// An entry of this leader's own term is applied, and so all entries before it.
-    pub fn note_settled(&mut self) {
+    pub fn note_own_term_applied(&mut self) {
         self.is_settled = true;
     }
 
     /// A holder takes no answer to these requests any more: what was granted to them
     /// has not run.
-    pub fn take_back(&mut self, now: Instant, node: NodeId, unanswered: &[u64], state: &JobState) {
+    pub fn reclaim(&mut self, now: Instant, node: NodeId, unanswered: &[u64], state: &JobState) {
         for request in unanswered {
-            self.unanswered.insert(*request, now + UNANSWERED_TIME);
+            self.unanswered.insert(*request, now + ABANDONED_REPORT_TIME);
         }
         let is_lost = |lease: &Lease| lease.request != 0 && lease.node == node && unanswered.contains(&lease.request);
         let lost: Vec<u64> = self.leases.iter().filter(|(_, lease)| is_lost(lease)).map(|(id, _)| *id).collect();
--- a/crates/core/src/record_source.rs
+++ b/crates/core/src/record_source.rs
@@ -36,12 +36,12 @@
 /// listing under way, or lists to send to many nodes that started together. The store
 /// has no more room for the lists of all nodes than they: 50 calls a node where there
 /// are 10,000 servers.
-pub const DEFERRAL_PATIENCE: Duration = Duration::from_secs(20);
+pub const DEFERRAL_TIMEOUT: Duration = Duration::from_secs(20);
 /// Longest pause between two polls while starting.
 const LONGEST_START_PAUSE: Duration = Duration::from_millis(640);
 /// Time for which upstreams that are behind the node itself, and sound otherwise, are
 /// waited for. One whose watch of the store lives hears of changes within half of it.
-pub const CATCH_UP_PATIENCE: Duration = Duration::from_millis(1000);
+pub const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Upstreams that must fail in a row before a node turns to the store.
 const FAILURES_BEFORE_STORE: u32 = 2;
 /// Pause after a failed poll, doubled at each failure in a row.
@@ -76,36 +76,36 @@
 
 impl UpstreamState {
     /// Whether what it tells can be relied on.
-    pub fn is_sound(&self) -> bool {
-        self.complete && !self.behind && !self.store_is_away()
+    pub fn is_reliable(&self) -> bool {
+        self.complete && !self.behind && !self.store_is_unreachable()
     }
 
     /// Whether all that keeps it from being sound is that it has not heard yet of what
     /// the node knows.
     fn is_only_behind(&self) -> bool {
-        self.behind && self.complete && !self.store_is_away()
+        self.behind && self.complete && !self.store_is_unreachable()
     }
 
     /// Whether the store doesn't answer it.
-    pub fn store_is_away(&self) -> bool {
+    pub fn store_is_unreachable(&self) -> bool {
         self.age > AGE_LIMIT || self.outage > OUTAGE_LIMIT
     }
 }
 
 /// How an upstream is to treat a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PollWait {
+pub enum PollCondition {
     /// Answer at once.
     Nothing,
     /// Answer when there is news.
-    News,
+    Change,
     /// Answer when it can be relied on.
-    Soundness,
+    Reliable,
 }
 
 /// The choice between the store and a number of upstreams.
 #[derive(Clone, Debug)]
-pub struct SourceChoice {
+pub struct SourceSelector {
     upstreams: usize,
     turn: usize,
     source: RecordSource,
@@ -118,7 +118,7 @@
     behind_since: Option<Instant>,
 }
 
-impl SourceChoice {
+impl SourceSelector {
     /// A node that starts `now`; `spread` makes different nodes begin with
     /// different upstreams. Without upstreams the store is the source.
     pub fn new(upstreams: usize, spread: u64, now: Instant) -> Self {
@@ -139,23 +139,23 @@
 
     /// What the next poll waits for. Once no upstream could be relied on, the
     /// polls rest at upstreams until one can.
-    pub fn poll_wait(&self) -> PollWait {
+    pub fn poll_wait(&self) -> PollCondition {
         if self.behind_since.is_some() {
-            return PollWait::Soundness;
+            return PollCondition::Reliable;
         }
         match (self.source, self.failures) {
-            (RecordSource::Upstream, 0) => PollWait::News,
+            (RecordSource::Upstream, 0) => PollCondition::Change,
             // An upstream that starts too answers once it has its first lists.
-            (RecordSource::Undecided, failures) if failures > 0 => PollWait::Soundness,
-            (RecordSource::Store, failures) if failures as usize >= self.upstreams => PollWait::Soundness,
-            _ => PollWait::Nothing,
+            (RecordSource::Undecided, failures) if failures > 0 => PollCondition::Reliable,
+            (RecordSource::Store, failures) if failures as usize >= self.upstreams => PollCondition::Reliable,
+            _ => PollCondition::Nothing,
         }
     }
 
     /// An upstream answered. Gives back the pause before the next poll: none
     /// after an upstream that can hold polls until it is sound.
     pub fn note_answer(&mut self, now: Instant, state: &UpstreamState) -> Duration {
-        if state.is_sound() {
+        if state.is_reliable() {
             self.source = RecordSource::Upstream;
             (self.failures, self.silences) = (0, 0);
             self.behind_since = None;
@@ -170,7 +170,7 @@
             let rounds = self.failures / self.upstreams.max(1) as u32;
             return doubled_pause(START_PAUSE, LONGEST_START_PAUSE, rounds);
         }
-        let held = self.poll_wait() == PollWait::Soundness && state.complete;
+        let held = self.poll_wait() == PollCondition::Reliable && state.complete;
         if held {
             self.silences = 0;
         }
@@ -186,14 +186,14 @@
     /// behind one after the other share the time.
     fn may_catch_up(&mut self, now: Instant) -> bool {
         let since = *self.behind_since.get_or_insert(now);
-        now.since(since) < CATCH_UP_PATIENCE
+        now.since(since) < CATCH_UP_TIMEOUT
     }
 
     /// Whether a node that starts goes on asking upstreams, one of which is in this
     /// state.
     fn may_wait_for(&self, state: &UpstreamState, now: Instant) -> bool {
-        let starts = self.source == RecordSource::Undecided && now.since(self.started) < DEFERRAL_PATIENCE;
-        starts && state.defers && !state.store_is_away()
+        let starts = self.source == RecordSource::Undecided && now.since(self.started) < DEFERRAL_TIMEOUT;
+        starts && state.defers && !state.store_is_unreachable()
     }
 
     /// An upstream gave no answer. Gives back the pause before the next poll.
--- a/crates/core/src/room/elsewhere.rs
+++ b/crates/core/src/room/elsewhere.rs
@@ -11,7 +11,7 @@
 
 /// The rooms of several nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RoomsTold {
+pub struct PeerHeadroomCounts {
     /// Nodes that tell their room.
     pub nodes: u32,
     /// Those that are busy.
@@ -21,12 +21,12 @@
 /// The room of the other nodes. Holds one entry for each node that was heard lately, and
 /// none where sums are heard instead.
 #[derive(Debug, Default)]
-pub struct RoomsElsewhere {
+pub struct PeerHeadroom {
     told: HashMap<NodeId, Told>,
     /// When entries of nodes that fell silent were dropped last.
     pruned_at: Instant,
     /// By the last sum over all nodes.
-    sum: Option<(Instant, RoomsTold)>,
+    sum: Option<(Instant, PeerHeadroomCounts)>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -36,7 +36,7 @@
     percent: u8,
 }
 
-impl RoomsElsewhere {
+impl PeerHeadroom {
     /// Another node told its room in percent, and whether it is busy.
     pub fn note(&mut self, now: Instant, node: NodeId, percent: u8, busy: bool) {
         // Not at each word: those that sum up hear all nodes several times a second.
@@ -48,14 +48,14 @@
     }
 
     /// A node that sums up what all tell told of the others.
-    pub fn note_sum(&mut self, now: Instant, rooms: RoomsTold) {
+    pub fn note_sum(&mut self, now: Instant, rooms: PeerHeadroomCounts) {
         self.sum = Some((now, rooms));
     }
 
     /// The nodes that are heard directly.
-    pub fn heard(&self, now: Instant) -> RoomsTold {
+    pub fn heard(&self, now: Instant) -> PeerHeadroomCounts {
         let fresh = self.told.values().filter(|told| now.since(told.at) < TOLD_LIFE);
-        let mut rooms = RoomsTold::default();
+        let mut rooms = PeerHeadroomCounts::default();
         for told in fresh {
             rooms.nodes += 1;
             rooms.busy += u32::from(told.busy);
@@ -64,7 +64,7 @@
     }
 
     /// The other nodes by the last sum, or as they are heard where there is none.
-    pub fn all(&self, now: Instant) -> RoomsTold {
+    pub fn all(&self, now: Instant) -> PeerHeadroomCounts {
         let sum = self.sum.filter(|(at, _)| now.since(*at) < TOLD_LIFE);
         sum.map_or_else(|| self.heard(now), |(_, rooms)| rooms)
     }
--- a/crates/core/src/room/gauge.rs
+++ b/crates/core/src/room/gauge.rs
@@ -1,6 +1,6 @@
 //! The room of this machine itself.
 
-use super::{left_of, MachineCapacity, ProcessUsage, Room};
+use super::{left_of, Headroom, MachineCapacity, ProcessUsage};
 use crate::time::Instant;
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -21,7 +21,7 @@
 
 /// A machine became busy, or is so no more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RoomChange {
+pub enum HeadroomChange {
     /// It has too little room.
     Busy,
     /// It has room again.
@@ -30,7 +30,7 @@
 
 /// Measures the room of this machine.
 #[derive(Debug)]
-pub struct RoomGauge {
+pub struct HeadroomGauge {
     capacity: MachineCapacity,
     /// Processor time at each look in the window, and the last one before it.
     looks: VecDeque<(Instant, Duration)>,
@@ -38,11 +38,11 @@
     /// Mean of the delays, later ones counting more.
     delay: Duration,
     delay_at: Option<Instant>,
-    room: Room,
+    room: Headroom,
     busy: bool,
 }
 
-impl RoomGauge {
+impl HeadroomGauge {
     /// A machine of which nothing is used yet.
     pub fn new(capacity: MachineCapacity) -> Self {
         Self {
@@ -51,7 +51,7 @@
             looked_at: None,
             delay: Duration::ZERO,
             delay_at: None,
-            room: Room::default(),
+            room: Headroom::default(),
             busy: false,
         }
     }
@@ -73,12 +73,12 @@
     }
 
     /// Whether to look at what the process uses.
-    pub fn look_is_due(&self, now: Instant) -> bool {
+    pub fn sample_is_due(&self, now: Instant) -> bool {
         self.measures() && self.looked_at.is_none_or(|at| now.since(at) >= LOOK_EVERY)
     }
 
     /// What the process uses now. Tells whether the machine has become busy or free.
-    pub fn note_usage(&mut self, now: Instant, usage: &ProcessUsage) -> Option<RoomChange> {
+    pub fn note_usage(&mut self, now: Instant, usage: &ProcessUsage) -> Option<HeadroomChange> {
         self.looked_at = Some(now);
         if let Some(time) = usage.processor_time {
             self.note_processor_time(now, time);
@@ -89,7 +89,7 @@
     }
 
     /// What is left of the limits.
-    pub fn room(&self) -> Room {
+    pub fn room(&self) -> Headroom {
         self.room
     }
 
@@ -117,15 +117,15 @@
         self.room.processor = left_of(used, self.capacity.processors);
     }
 
-    fn judge(&mut self) -> Option<RoomChange> {
+    fn judge(&mut self) -> Option<HeadroomChange> {
         let least = self.room.least();
         if !self.busy && least < BUSY_BELOW {
             self.busy = true;
-            return Some(RoomChange::Busy);
+            return Some(HeadroomChange::Busy);
         }
         if self.busy && least >= FREE_FROM {
             self.busy = false;
-            return Some(RoomChange::Free);
+            return Some(HeadroomChange::Free);
         }
         None
     }
--- a/crates/core/src/room/mod.rs
+++ b/crates/core/src/room/mod.rs
@@ -7,8 +7,8 @@
 mod elsewhere;
 mod gauge;
 
-pub use elsewhere::{RoomsElsewhere, RoomsTold};
-pub use gauge::{RoomChange, RoomGauge};
+pub use elsewhere::{PeerHeadroom, PeerHeadroomCounts};
+pub use gauge::{HeadroomChange, HeadroomGauge};
 
 use std::time::Duration;
 
@@ -43,7 +43,7 @@
 
 /// What is left of each limit, in percent; 100 where it is not known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Room {
+pub struct Headroom {
     /// Of the processor time, over the last seconds.
     pub processor: u8,
     /// Of the time by which a task may run late: answers in time need it.
@@ -54,13 +54,13 @@
     pub descriptors: u8,
 }
 
-impl Default for Room {
+impl Default for Headroom {
     fn default() -> Self {
         Self { processor: FULL, delay: FULL, memory: FULL, descriptors: FULL }
     }
 }
 
-impl Room {
+impl Headroom {
     /// What is left of the scarcest.
     pub fn least(&self) -> u8 {
         self.processor.min(self.delay).min(self.memory).min(self.descriptors)
@@ -77,8 +77,8 @@
     }
 
     /// What is left of each limit here or in `other`, whichever is less.
-    pub fn least_of_each(&self, other: &Room) -> Room {
-        Room {
+    pub fn min_of_each(&self, other: &Headroom) -> Headroom {
+        Headroom {
             processor: self.processor.min(other.processor),
             delay: self.delay.min(other.delay),
             memory: self.memory.min(other.memory),
--- a/crates/core/src/start_holding.rs
+++ b/crates/core/src/start_holding.rs
@@ -33,7 +33,7 @@
 
 /// What is known of the table by which requests are served.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum TableKnowledge {
+pub enum TableState {
     /// Nothing.
     #[default]
     Unknown,
@@ -45,37 +45,37 @@
 
 /// What a node knows of what it needs to serve.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct StartKnowledge {
+pub struct StartupState {
     /// The table.
-    pub table: TableKnowledge,
+    pub table: TableState,
     /// The servers are known.
     pub servers: bool,
     /// The node leaves.
     pub leaving: bool,
 }
 
-impl StartKnowledge {
+impl StartupState {
     /// Whether requests can be served.
     pub fn serves(&self) -> bool {
-        self.table == TableKnowledge::InForce && self.servers
+        self.table == TableState::InForce && self.servers
     }
 
     /// The store, or a node that it answers, has told all of the operator's records.
-    pub fn note_table_told(&mut self) {
-        if self.table == TableKnowledge::Unknown {
-            self.table = TableKnowledge::Absent;
+    pub fn note_table_received(&mut self) {
+        if self.table == TableState::Unknown {
+            self.table = TableState::Absent;
         }
     }
 
     /// Whether requests wait for more to be known.
     pub fn waits(&self) -> bool {
-        !self.serves() && !self.leaving && self.table != TableKnowledge::Absent
+        !self.serves() && !self.leaving && self.table != TableState::Absent
     }
 
     /// Why a request is refused that does not wait, or waits no longer; `None` if it goes
     /// its usual way. A node that leaves sends nobody to wait for servers once more.
     pub fn refusal(&self, was_held: bool) -> Option<ResultCode> {
-        let has_table = self.table == TableKnowledge::InForce;
+        let has_table = self.table == TableState::InForce;
         if has_table && (self.servers || !self.leaving || !was_held) {
             return None;
         }
@@ -87,29 +87,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arrival {
     /// It is served, or refused, by what is known.
-    GoesOn,
+    Proceed,
     /// It is held for that time at most, and then goes on.
-    IsHeld(Duration),
+    Hold(Duration),
 }
 
 /// The requests that are held at a start.
 #[derive(Debug, Default)]
-pub struct StartHolding {
+pub struct StartupHold {
     held: usize,
 }
 
-impl StartHolding {
+impl StartupHold {
     /// Most requests that are held at a time.
     pub const LIMIT: usize = HELD_BYTES / REQUEST_BYTES;
 
     /// A request arrives whose caller waits for `left`, if it says so. Whoever is held is
     /// to be told of by [`Self::leave`].
-    pub fn arrive(&mut self, known: &StartKnowledge, left: Option<Duration>) -> Arrival {
+    pub fn arrive(&mut self, known: &StartupState, left: Option<Duration>) -> Arrival {
         if !known.waits() || self.held >= Self::LIMIT {
-            return Arrival::GoesOn;
+            return Arrival::Proceed;
         }
         self.held += 1;
-        Arrival::IsHeld(longest_start_hold(left))
+        Arrival::Hold(longest_start_hold(left))
     }
 
     /// A held request goes on, is refused, or has lost its caller.
--- a/crates/core/src/start_pacing.rs
+++ b/crates/core/src/start_pacing.rs
@@ -40,11 +40,11 @@
 
 /// What a request is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Turn {
+pub enum PacingDecision {
     /// It is sent now.
-    Goes,
+    Send,
     /// It waits for its turn under this number.
-    Waits(u64),
+    Wait(u64),
 }
 
 #[derive(Debug, Default)]
@@ -68,7 +68,7 @@
 
 /// The requests of a node after its start.
 #[derive(Debug)]
-pub struct StartPacing {
+pub struct StartupPacer {
     /// Until when requests are paced; none are before something is known.
     ends: Option<Instant>,
     /// Nodes that send requests, this one among them.
@@ -77,13 +77,13 @@
     last_number: u64,
 }
 
-impl Default for StartPacing {
+impl Default for StartupPacer {
     fn default() -> Self {
         Self { ends: None, nodes: 1, services: HashMap::new(), last_number: 0 }
     }
 }
 
-impl StartPacing {
+impl StartupPacer {
     /// The node knows enough to serve from now on.
     pub fn begin(&mut self, now: Instant) {
         self.ends = Some(now + LONGEST_PACING);
@@ -101,7 +101,7 @@
 
     /// A request wants to be sent to a service, of which all nodes together may use so
     /// many free slots.
-    pub fn ask(&mut self, now: Instant, service: &Arc<str>, free_slots: f64, request: PacedRequest) -> Turn {
+    pub fn ask(&mut self, now: Instant, service: &Arc<str>, free_slots: f64, request: PacedRequest) -> PacingDecision {
         let nodes = self.nodes;
         let entry = self.services.entry(service.clone()).or_default();
         self.last_number += 1;
@@ -112,9 +112,9 @@
         if has_room && entry.first(now) == Some(number) {
             entry.remove(number);
             entry.running += 1;
-            return Turn::Goes;
+            return PacingDecision::Send;
         }
-        Turn::Waits(number)
+        PacingDecision::Wait(number)
     }
 
     /// The waiting request of a service that is sent now, if there is room for one.
--- a/crates/core/src/start_snapshot.rs
+++ b/crates/core/src/start_snapshot.rs
@@ -17,66 +17,66 @@
 
 /// Time after a start in which the store, or an upstream that it answers, is waited for:
 /// a list comes within some 20 ms where the store is there.
-pub const STORE_PATIENCE: Duration = Duration::from_millis(300);
+pub const STORE_TIMEOUT: Duration = Duration::from_millis(300);
 /// Oldest snapshot that is believed. A tenant's key that was taken away is accepted for so
 /// long at most by a node that the store doesn't answer. An hour is more than a power cut
 /// with a restart takes, and less than a working day.
-pub const LONGEST_AGE: Duration = Duration::from_secs(3600);
+pub const MAX_SNAPSHOT_AGE: Duration = Duration::from_secs(3600);
 /// Least time between two calls for the same records: a snapshot of 10,000 servers takes
 /// 64 ms of a link of 200 Mbit/s.
 const CALL_PAUSE: Duration = Duration::from_millis(300);
 
 /// What is known of the records under a prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Knowledge {
+pub enum RecordState {
     /// Nothing.
     Nothing,
     /// What was kept before a start, up to this revision.
-    Kept(u64),
+    Stored(u64),
     /// What a source told that could be relied on.
-    Told,
+    Received,
 }
 
 /// What a node knows of its contact with the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct StoreContact {
+pub struct StoreReachability {
     /// Time since the store was last known to answer this node; `None` if it never did.
     pub own_age: Option<Duration>,
     /// Whether an upstream that can be relied on told lately that the store answers it.
-    pub told_answering: bool,
+    pub upstream_reaches_store: bool,
 }
 
-impl StoreContact {
+impl StoreReachability {
     fn is_away(&self) -> bool {
-        !self.told_answering && self.own_age.is_none_or(|age| age > AGE_LIMIT)
+        !self.upstream_reaches_store && self.own_age.is_none_or(|age| age > AGE_LIMIT)
     }
 }
 
 /// Whether a snapshot of this revision, confirmed by the store at that time, is believed
 /// rather than what is known.
-pub fn replaces(known: Knowledge, revision: u64, confirmed: WallTime, now: WallTime) -> bool {
-    is_better(known, revision) && !is_too_old(confirmed, now)
+pub fn replaces(known: RecordState, revision: u64, confirmed: WallTime, now: WallTime) -> bool {
+    is_newer_revision(known, revision) && !is_too_old(confirmed, now)
 }
 
 /// Whether a snapshot that the store confirmed at that time is too old to be believed by
 /// anybody who doesn't know it yet.
 pub fn is_too_old(confirmed: WallTime, now: WallTime) -> bool {
-    age_of(confirmed, now) > LONGEST_AGE
+    snapshot_age(confirmed, now) > MAX_SNAPSHOT_AGE
 }
 
 /// Whether records of this revision that a running node knows are believed rather than what
 /// is known, however old they are: that node serves by them too.
-pub fn is_better(known: Knowledge, revision: u64) -> bool {
+pub fn is_newer_revision(known: RecordState, revision: u64) -> bool {
     match known {
-        Knowledge::Nothing => true,
-        Knowledge::Kept(present) => revision > present,
-        Knowledge::Told => false,
+        RecordState::Nothing => true,
+        RecordState::Stored(present) => revision > present,
+        RecordState::Received => false,
     }
 }
 
 /// Time since the store confirmed records; zero where the clock of the node that kept
 /// them is ahead.
-pub fn age_of(confirmed: WallTime, now: WallTime) -> Duration {
+pub fn snapshot_age(confirmed: WallTime, now: WallTime) -> Duration {
     now.left_at(confirmed)
 }
 
@@ -94,26 +94,26 @@
     }
 
     /// Whether snapshots are believed now.
-    pub fn may_believe(&self, now: Instant, contact: StoreContact) -> bool {
-        now.since(self.started) >= STORE_PATIENCE && contact.is_away()
+    pub fn may_use_snapshots(&self, now: Instant, contact: StoreReachability) -> bool {
+        now.since(self.started) >= STORE_TIMEOUT && contact.is_away()
     }
 
     /// Whether another node that knows a prefix up to a revision would be called for it.
-    pub fn would_call(
+    pub fn should_fetch(
         &self,
         now: Instant,
-        contact: StoreContact,
+        contact: StoreReachability,
         prefix: &str,
-        known: Knowledge,
+        known: RecordState,
         offered: u64,
     ) -> bool {
         let is_newer = match known {
-            Knowledge::Nothing => offered > 0,
-            Knowledge::Kept(present) => offered > present,
-            Knowledge::Told => false,
+            RecordState::Nothing => offered > 0,
+            RecordState::Stored(present) => offered > present,
+            RecordState::Received => false,
         };
         let called_lately = self.called.get(prefix).is_some_and(|at| now.since(*at) < CALL_PAUSE);
-        is_newer && !called_lately && self.may_believe(now, contact)
+        is_newer && !called_lately && self.may_use_snapshots(now, contact)
     }
 
     /// Another node is called for a prefix.
--- a/crates/core/tests/holding.rs
+++ b/crates/core/tests/holding.rs
@@ -1,6 +1,6 @@
 //! Which requests are held, and for how long.
 
-use latchwheel_core::holding::{longest_hold, timely_wait, HeldOutcomes};
+use latchwheel_core::holding::{max_hold, timely_wait, HoldOutcomes};
 use latchwheel_core::time::Instant;
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,23 +12,23 @@
 #[test]
 fn nobody_is_held_longer_than_callers_stay() {
     let left = Duration::from_secs(5);
-    assert_eq!(longest_hold(left, None), Duration::from_millis(2500));
-    assert_eq!(longest_hold(left, Some(Duration::from_secs(2))), Duration::from_secs(1));
-    assert_eq!(longest_hold(Duration::ZERO, Some(left)), Duration::ZERO);
+    assert_eq!(max_hold(left, None), Duration::from_millis(2500));
+    assert_eq!(max_hold(left, Some(Duration::from_secs(2))), Duration::from_secs(1));
+    assert_eq!(max_hold(Duration::ZERO, Some(left)), Duration::ZERO);
     assert!(timely_wait(Duration::from_millis(300)) < Duration::from_millis(300));
 }
 
 #[test]
 fn where_held_requests_are_refused_others_are_not_held() {
-    let mut outcomes = HeldOutcomes::default();
+    let mut outcomes = HoldOutcomes::default();
     let service: Arc<str> = "service".into();
-    assert!(outcomes.is_worth_while(at(60), &service, 0.99));
+    assert!(outcomes.should_hold(at(60), &service, 0.99));
     (0..20).for_each(|_| outcomes.note(at(60), &service, false));
-    assert!(!outcomes.is_worth_while(at(61), &service, 0.99));
-    assert!(outcomes.is_worth_while(at(61), &service, 0.05), "a few find out whether it is over");
-    assert!(outcomes.is_worth_while(at(61), "other", 0.99));
+    assert!(!outcomes.should_hold(at(61), &service, 0.99));
+    assert!(outcomes.should_hold(at(61), &service, 0.05), "a few find out whether it is over");
+    assert!(outcomes.should_hold(at(61), "other", 0.99));
     (0..20).for_each(|_| outcomes.note(at(62), &service, true));
-    assert!(outcomes.is_worth_while(at(62), &service, 0.99));
+    assert!(outcomes.should_hold(at(62), &service, 0.99));
     (0..20).for_each(|_| outcomes.note(at(63), &service, false));
-    assert!(outcomes.is_worth_while(at(69), &service, 0.99), "old outcomes prove nothing");
+    assert!(outcomes.should_hold(at(69), &service, 0.99), "old outcomes prove nothing");
 }
--- a/crates/core/tests/item_urgency.rs
+++ b/crates/core/tests/item_urgency.rs
@@ -1,6 +1,6 @@
 //! Which items of batch jobs start, where peaks of online requests take their slots.
 
-use latchwheel_core::item_urgency::{can_be_in_time, start_list, StartList, TimeLeft};
+use latchwheel_core::item_urgency::{can_meet_due_time, start_list, RemainingTime, StartPlan};
 use latchwheel_core::run_times::RunTimes;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -8,8 +8,8 @@
 
 const EVENTS: u64 = 144;
 
-fn left(until_due: Duration) -> TimeLeft {
-    TimeLeft { until_due, listing: Duration::from_millis(100) }
+fn left(time_until_due: Duration) -> RemainingTime {
+    RemainingTime { time_until_due, listing: Duration::from_millis(100) }
 }
 
 /// Items run for 4 s, and are whole 6 s after their first start.
@@ -23,23 +23,23 @@
 #[test]
 fn an_item_starts_only_with_time_for_the_waits_that_others_had() {
     let times = measured();
-    assert!(!can_be_in_time(&times, 0, left(Duration::from_secs(5))));
-    assert!(can_be_in_time(&times, 0, left(Duration::from_secs(7))));
+    assert!(!can_meet_due_time(&times, 0, left(Duration::from_secs(5))));
+    assert!(can_meet_due_time(&times, 0, left(Duration::from_secs(7))));
 }
 
 #[test]
 fn what_was_begun_is_given_up_only_where_its_run_alone_would_end_too_late() {
     let times = measured();
-    assert!(can_be_in_time(&times, EVENTS / 2, left(Duration::from_millis(2200))));
-    assert!(!can_be_in_time(&times, EVENTS / 2, left(Duration::from_millis(1900))));
-    assert!(!can_be_in_time(&times, EVENTS, left(Duration::ZERO)));
+    assert!(can_meet_due_time(&times, EVENTS / 2, left(Duration::from_millis(2200))));
+    assert!(!can_meet_due_time(&times, EVENTS / 2, left(Duration::from_millis(1900))));
+    assert!(!can_meet_due_time(&times, EVENTS, left(Duration::ZERO)));
 }
 
 #[test]
 fn without_a_measurement_only_the_due_time_decides() {
     let times = RunTimes::default();
-    assert!(can_be_in_time(&times, 0, left(Duration::from_secs(1))));
-    assert!(!can_be_in_time(&times, 0, left(Duration::from_millis(50))));
+    assert!(can_meet_due_time(&times, 0, left(Duration::from_secs(1))));
+    assert!(!can_meet_due_time(&times, 0, left(Duration::from_millis(50))));
 }
 
 #[test]
@@ -47,11 +47,11 @@
     let times = measured();
     let waiting = vec![(0, 0), (1, 100), (2, 0), (3, 40)];
     let in_time = start_list(&times, waiting.clone(), left(Duration::from_secs(9)));
-    assert_eq!(in_time, StartList { positions: vec![1, 3, 0, 2], overdue: false });
+    assert_eq!(in_time, StartPlan { positions: vec![1, 3, 0, 2], overdue: false });
     let only_begun = start_list(&times, waiting.clone(), left(Duration::from_secs(4)));
-    assert_eq!(only_begun, StartList { positions: vec![1, 3], overdue: false });
+    assert_eq!(only_begun, StartPlan { positions: vec![1, 3], overdue: false });
     let none = start_list(&times, waiting, left(Duration::ZERO));
-    assert_eq!(none, StartList { positions: vec![1, 3, 0, 2], overdue: true });
+    assert_eq!(none, StartPlan { positions: vec![1, 3, 0, 2], overdue: true });
 }
 
 const STEP: f64 = 0.05;
@@ -90,15 +90,15 @@
 }
 
 /// A rule by which items start.
-type Rule = fn(&RunTimes, Vec<(usize, u64)>, TimeLeft) -> StartList;
+type Rule = fn(&RunTimes, Vec<(usize, u64)>, RemainingTime) -> StartPlan;
 
 /// Items start as long as an undisturbed run is in time.
-fn by_due_time_alone(times: &RunTimes, waiting: Vec<(usize, u64)>, left: TimeLeft) -> StartList {
-    let in_time = |item: &&(usize, u64)| times.remaining(item.1) <= left.until_due;
+fn by_due_time_alone(times: &RunTimes, waiting: Vec<(usize, u64)>, left: RemainingTime) -> StartPlan {
+    let in_time = |item: &&(usize, u64)| times.remaining(item.1) <= left.time_until_due;
     let timely: Vec<usize> = waiting.iter().filter(in_time).map(|item| item.0).collect();
-    let overdue = timely.is_empty() || left.until_due.is_zero();
+    let overdue = timely.is_empty() || left.time_until_due.is_zero();
     let positions = if overdue { waiting.into_iter().map(|item| item.0).collect() } else { timely };
-    StartList { positions, overdue }
+    StartPlan { positions, overdue }
 }
 
 struct Load {
@@ -167,8 +167,8 @@
         for (number, job) in self.jobs.iter().enumerate() {
             let waits = |position: &usize| job[*position].standing == Standing::Waits;
             let waiting = (0..job.len()).filter(waits).map(|position| (position, job[position].events()));
-            let until_due = (job[0].job_at + DUE_SECONDS - self.now).max(0.0);
-            let list = rule(&self.times, waiting.collect(), left(Duration::from_secs_f64(until_due)));
+            let time_until_due = (job[0].job_at + DUE_SECONDS - self.now).max(0.0);
+            let list = rule(&self.times, waiting.collect(), left(Duration::from_secs_f64(time_until_due)));
             order.push((list.overdue, number, list.positions));
         }
         order.sort();
--- a/crates/core/tests/leasing.rs
+++ b/crates/core/tests/leasing.rs
@@ -4,9 +4,9 @@
 
 use latchwheel_core::identity::NodeId;
 use latchwheel_core::jobs::{Effect, JobState, StateKey, StateTable};
-use latchwheel_core::leasing::{Asker, Leasing, LEASE_CALL_TIME, LEASE_LENGTH, UNANSWERED_TIME};
+use latchwheel_core::leasing::{Asker, Leasing, ABANDONED_REPORT_TIME, LEASE_CALL_TIME, LEASE_LENGTH};
 use latchwheel_core::time::Instant;
-use latchwheel_core::unanswered::UnansweredRequests;
+use latchwheel_core::unanswered::AbandonedRequests;
 use latchwheel_protocol::v1::command::Body;
 use latchwheel_protocol::v1::{Command, HeldChunk, JobRecord, StartItems};
 use latchwheel_protocol::Message;
@@ -123,7 +123,7 @@
 fn leader_of(state: &JobState) -> Leasing {
     let mut leasing = Leasing::new(Instant::default(), 1, &JobState::default());
     leasing.open_job(state.job(JOB).unwrap());
-    leasing.note_settled();
+    leasing.note_own_term_applied();
     leasing
 }
 
@@ -160,13 +160,13 @@
     commit_start(&mut state, LOST);
     let told_at = start + LEASE_CALL_TIME + ROUND_PAUSE;
     // Only its holder can say so.
-    leasing.take_back(told_at, OTHER, &[LOST.request], &state);
+    leasing.reclaim(told_at, OTHER, &[LOST.request], &state);
     assert_eq!(granted(&mut leasing, told_at, OF_OTHER, &state), none());
-    leasing.take_back(told_at, HOLDER, &[LOST.request], &state);
+    leasing.reclaim(told_at, HOLDER, &[LOST.request], &state);
     assert_eq!(unknown(&mut leasing, start + LEASE_LENGTH * 2, &state), none());
     assert_eq!(granted(&mut leasing, told_at, NEXT, &state), all_items());
     // Told once more, it doesn't concern what the holder has now.
-    leasing.take_back(told_at, HOLDER, &[LOST.request], &state);
+    leasing.reclaim(told_at, HOLDER, &[LOST.request], &state);
     assert_eq!(granted(&mut leasing, told_at, OF_OTHER, &state), none());
 }
 
@@ -175,7 +175,7 @@
     let state = new_job();
     let mut leasing = leader_of(&state);
     let start = Instant::default();
-    leasing.take_back(start, HOLDER, &[LOST.request], &state);
+    leasing.reclaim(start, HOLDER, &[LOST.request], &state);
     assert_eq!(granted(&mut leasing, start + STEP, LOST, &state), none());
     assert_eq!(granted(&mut leasing, start + STEP, NEXT, &state), all_items());
 }
@@ -186,12 +186,12 @@
     commit_start(&mut state, LOST);
     let elected = Instant::default();
     let mut leasing = Leasing::new(elected, 2, &state);
-    leasing.take_back(elected + STEP, HOLDER, &[LOST.request], &state);
+    leasing.reclaim(elected + STEP, HOLDER, &[LOST.request], &state);
     let granting = elected + LEASE_LENGTH;
     // Until all earlier entries are applied, a later start of them may follow.
     assert_eq!(unknown(&mut leasing, granting, &state), none());
     assert_eq!(granted(&mut leasing, granting, NEXT, &state), none());
-    leasing.note_settled();
+    leasing.note_own_term_applied();
     assert_eq!(unknown(&mut leasing, granting, &state), none());
     assert_eq!(granted(&mut leasing, granting, NEXT, &state), all_items());
 }
@@ -205,8 +205,8 @@
     commit_start(&mut state, OF_OTHER);
     let elected = Instant::default();
     let mut leasing = Leasing::new(elected, 2, &state);
-    leasing.note_settled();
-    leasing.take_back(elected + STEP, HOLDER, &[LOST.request], &state);
+    leasing.note_own_term_applied();
+    leasing.reclaim(elected + STEP, HOLDER, &[LOST.request], &state);
     assert_eq!(unknown(&mut leasing, elected + LEASE_LENGTH, &state), all_items());
     assert_eq!(granted(&mut leasing, elected + LEASE_LENGTH, NEXT, &state), none());
 }
@@ -228,11 +228,11 @@
 #[test]
 fn a_holder_tells_what_it_gave_up_for_a_bounded_time() {
     let start = Instant::default();
-    let mut unanswered = UnansweredRequests::default();
+    let mut unanswered = AbandonedRequests::default();
     unanswered.note(start, &[1]);
     // To tell it again is no news.
     unanswered.note(start + STEP, &[1, 2]);
-    assert_eq!(unanswered.to_tell(start + STEP), [1, 2]);
-    assert_eq!(unanswered.to_tell(start + UNANSWERED_TIME), [2]);
-    assert_eq!(unanswered.to_tell(start + STEP + UNANSWERED_TIME), [0; 0]);
+    assert_eq!(unanswered.to_report(start + STEP), [1, 2]);
+    assert_eq!(unanswered.to_report(start + ABANDONED_REPORT_TIME), [2]);
+    assert_eq!(unanswered.to_report(start + STEP + ABANDONED_REPORT_TIME), [0; 0]);
 }
--- a/crates/core/tests/machine_room.rs
+++ b/crates/core/tests/machine_room.rs
@@ -2,7 +2,9 @@
 //! them.
 
 use latchwheel_core::identity::NodeId;
-use latchwheel_core::room::{MachineCapacity, ProcessUsage, RoomChange, RoomGauge, RoomsElsewhere, RoomsTold};
+use latchwheel_core::room::{
+    HeadroomChange, HeadroomGauge, MachineCapacity, PeerHeadroom, PeerHeadroomCounts, ProcessUsage,
+};
 use latchwheel_core::time::Instant;
 use std::time::Duration;
 
@@ -16,15 +18,15 @@
 
 /// A machine whose process works as it is told, second by second.
 struct Machine {
-    gauge: RoomGauge,
+    gauge: HeadroomGauge,
     used: Duration,
     second: u64,
-    changes: Vec<(u64, RoomChange)>,
+    changes: Vec<(u64, HeadroomChange)>,
 }
 
 impl Machine {
     fn new(capacity: MachineCapacity) -> Self {
-        Self { gauge: RoomGauge::new(capacity), used: Duration::ZERO, second: 0, changes: Vec::new() }
+        Self { gauge: HeadroomGauge::new(capacity), used: Duration::ZERO, second: 0, changes: Vec::new() }
     }
 
     /// A second in which so much of a processor was used, and tasks ran so late.
@@ -39,7 +41,7 @@
         self.second += 1;
         self.used += Duration::from_secs_f64(processor);
         let now = at(self.second * 1000);
-        if !self.gauge.look_is_due(now) {
+        if !self.gauge.sample_is_due(now) {
             return;
         }
         let usage = ProcessUsage { processor_time: Some(self.used), ..usage };
@@ -74,7 +76,7 @@
     for _ in 0..5 {
         machine.pass(0.1, Duration::ZERO);
     }
-    assert!(matches!(machine.changes[..], [(_, RoomChange::Busy)]), "{:?}", machine.changes);
+    assert!(matches!(machine.changes[..], [(_, HeadroomChange::Busy)]), "{:?}", machine.changes);
     for second in 0..30 {
         machine.pass(if second % 3 == 0 { 0.1 } else { 0.07 }, Duration::ZERO);
     }
@@ -82,7 +84,7 @@
     for _ in 0..5 {
         machine.pass(0.03, Duration::ZERO);
     }
-    assert!(matches!(machine.changes[..], [_, (_, RoomChange::Free)]), "{:?}", machine.changes);
+    assert!(matches!(machine.changes[..], [_, (_, HeadroomChange::Free)]), "{:?}", machine.changes);
 }
 
 /// A machine that is slow for its neighbours' sake uses little processor time.
@@ -136,7 +138,7 @@
     assert!(!unlimited.gauge.measures());
     unlimited.pass(5.0, Duration::ZERO);
     assert_eq!(unlimited.gauge.room().least(), 100);
-    let mut unreadable = RoomGauge::new(SMALL);
+    let mut unreadable = HeadroomGauge::new(SMALL);
     for second in 0..10 {
         assert_eq!(unreadable.note_usage(at(second * 1000), &ProcessUsage::default()), None);
     }
@@ -147,29 +149,29 @@
 
 #[test]
 fn what_a_silent_node_told_counts_no_more() {
-    let mut rooms = RoomsElsewhere::default();
+    let mut rooms = PeerHeadroom::default();
     rooms.note(at(0), NodeId(1), 80, false);
     rooms.note(at(1000), NodeId(2), 5, true);
-    assert_eq!(rooms.heard(at(1000)), RoomsTold { nodes: 2, busy: 1 });
-    assert_eq!(rooms.heard(at(1600)), RoomsTold { nodes: 1, busy: 1 }, "the first one fell silent");
+    assert_eq!(rooms.heard(at(1000)), PeerHeadroomCounts { nodes: 2, busy: 1 });
+    assert_eq!(rooms.heard(at(1600)), PeerHeadroomCounts { nodes: 1, busy: 1 }, "the first one fell silent");
     assert_eq!((rooms.of(at(1600), NodeId(1)), rooms.of(at(1600), NodeId(2))), (None, Some(5)));
-    assert_eq!(rooms.heard(at(10_000)), RoomsTold::default());
+    assert_eq!(rooms.heard(at(10_000)), PeerHeadroomCounts::default());
 }
 
 /// Nodes hear of each other by sums that are made at different moments.
 #[test]
 fn a_sum_counts_before_single_reports_and_as_long_as_these() {
-    let mut rooms = RoomsElsewhere::default();
+    let mut rooms = PeerHeadroom::default();
     rooms.note(at(0), NodeId(1), 80, false);
-    rooms.note_sum(at(100), RoomsTold { nodes: 57, busy: 30 });
-    assert_eq!(rooms.all(at(200)), RoomsTold { nodes: 57, busy: 30 });
+    rooms.note_sum(at(100), PeerHeadroomCounts { nodes: 57, busy: 30 });
+    assert_eq!(rooms.all(at(200)), PeerHeadroomCounts { nodes: 57, busy: 30 });
     rooms.note(at(3000), NodeId(1), 80, false);
-    assert_eq!(rooms.all(at(3000)), RoomsTold { nodes: 1, busy: 0 }, "the sum is old");
+    assert_eq!(rooms.all(at(3000)), PeerHeadroomCounts { nodes: 1, busy: 0 }, "the sum is old");
 }
 
 #[test]
 fn a_figure_beyond_all_is_taken_as_full_room() {
-    let mut rooms = RoomsElsewhere::default();
+    let mut rooms = PeerHeadroom::default();
     rooms.note(at(0), NodeId(1), 250, false);
     assert_eq!(rooms.of(at(0), NodeId(1)), Some(100));
 }
--- a/crates/core/tests/record_source.rs
+++ b/crates/core/tests/record_source.rs
@@ -1,7 +1,8 @@
 //! The choice between the record store and other nodes' caches.
 
 use latchwheel_core::record_source::{
-    PollWait, RecordSource, SourceChoice, UpstreamState, AGE_LIMIT, CATCH_UP_PATIENCE, DEFERRAL_PATIENCE, OUTAGE_LIMIT,
+    PollCondition, RecordSource, SourceSelector, UpstreamState, AGE_LIMIT, CATCH_UP_TIMEOUT, DEFERRAL_TIMEOUT,
+    OUTAGE_LIMIT,
 };
 use latchwheel_core::time::Instant;
 use proptest::prelude::*;
@@ -17,19 +18,19 @@
 
 #[test]
 fn without_upstreams_the_store_is_the_source() {
-    let choice = SourceChoice::new(0, 7, START);
+    let choice = SourceSelector::new(0, 7, START);
     assert_eq!(choice.source(), RecordSource::Store);
     assert_eq!(choice.upstream(), None);
 }
 
 #[test]
 fn a_node_that_starts_waits_a_moment_for_an_upstream_that_starts_too() {
-    let mut choice = SourceChoice::new(3, 1, START);
+    let mut choice = SourceSelector::new(3, 1, START);
     choice.note_failure(later(10));
     assert_eq!(choice.source(), RecordSource::Undecided);
     choice.note_answer(later(200), &SOUND);
     assert_eq!(choice.source(), RecordSource::Upstream);
-    let mut alone = SourceChoice::new(3, 1, START);
+    let mut alone = SourceSelector::new(3, 1, START);
     alone.note_failure(later(1_500));
     assert_eq!(alone.source(), RecordSource::Store);
 }
@@ -42,15 +43,15 @@
         UpstreamState { complete: false, ..SOUND },
     ];
     for state in unsound {
-        let mut choice = SourceChoice::new(2, 0, START);
+        let mut choice = SourceSelector::new(2, 0, START);
         choice.note_answer(later(100), &SOUND);
-        assert_eq!(choice.poll_wait(), PollWait::News);
+        assert_eq!(choice.poll_wait(), PollCondition::Change);
         assert_eq!(choice.note_answer(later(5_000), &state), Duration::ZERO);
         assert_eq!(choice.source(), RecordSource::Upstream, "the other one is asked first");
-        assert_eq!((choice.upstream(), choice.poll_wait()), (Some(1), PollWait::Nothing));
+        assert_eq!((choice.upstream(), choice.poll_wait()), (Some(1), PollCondition::Nothing));
         choice.note_answer(later(5_010), &state);
         assert_eq!(choice.source(), RecordSource::Store, "{state:?}");
-        assert_eq!((choice.upstream(), choice.poll_wait()), (Some(0), PollWait::Soundness));
+        assert_eq!((choice.upstream(), choice.poll_wait()), (Some(0), PollCondition::Reliable));
         let pause = choice.note_answer(later(5_610), &state);
         assert_eq!(pause.is_zero(), state.complete, "an upstream that holds polls is asked again at once");
         choice.note_answer(later(6_000), &SOUND);
@@ -60,7 +61,7 @@
 
 #[test]
 fn the_only_upstream_is_left_for_the_store_at_once() {
-    let mut choice = SourceChoice::new(1, 0, START);
+    let mut choice = SourceSelector::new(1, 0, START);
     choice.note_answer(later(100), &SOUND);
     choice.note_failure(later(1_100));
     assert_eq!(choice.source(), RecordSource::Store);
@@ -71,18 +72,18 @@
 #[test]
 fn an_upstream_that_knows_less_is_waited_for_a_moment() {
     let behind = UpstreamState { behind: true, ..SOUND };
-    let mut choice = SourceChoice::new(3, 0, START);
+    let mut choice = SourceSelector::new(3, 0, START);
     choice.note_answer(later(100), &SOUND);
     assert_eq!(choice.note_answer(later(5_000), &behind), Duration::ZERO);
-    assert_eq!((choice.upstream(), choice.poll_wait()), (Some(0), PollWait::Soundness));
+    assert_eq!((choice.upstream(), choice.poll_wait()), (Some(0), PollCondition::Reliable));
     assert_eq!(choice.source(), RecordSource::Upstream);
-    let patience_ends = later(5_000) + CATCH_UP_PATIENCE;
+    let patience_ends = later(5_000) + CATCH_UP_TIMEOUT;
     choice.note_answer(patience_ends, &behind);
     assert_eq!((choice.upstream(), choice.source()), (Some(1), RecordSource::Upstream));
     choice.note_answer(patience_ends + Duration::from_millis(10), &behind);
     assert_eq!(choice.source(), RecordSource::Store);
     choice.note_answer(later(9_000), &SOUND);
-    assert_eq!((choice.source(), choice.poll_wait()), (RecordSource::Upstream, PollWait::News));
+    assert_eq!((choice.source(), choice.poll_wait()), (RecordSource::Upstream, PollCondition::Change));
 }
 
 /// A node that watches the store itself goes on with that, however long its upstreams
@@ -90,7 +91,7 @@
 #[test]
 fn an_upstream_that_knows_less_is_no_source() {
     let behind = UpstreamState { behind: true, ..SOUND };
-    let mut choice = SourceChoice::new(2, 0, START);
+    let mut choice = SourceSelector::new(2, 0, START);
     choice.note_failure(later(1_500));
     for poll in 0..40 {
         choice.note_answer(later(2_000 + 100 * poll), &behind);
@@ -100,7 +101,7 @@
 
 #[test]
 fn upstreams_that_are_silent_are_asked_more_and_more_seldom() {
-    let mut choice = SourceChoice::new(3, 0, START);
+    let mut choice = SourceSelector::new(3, 0, START);
     choice.note_answer(later(100), &SOUND);
     let pauses: Vec<u128> = (0..6).map(|_| choice.note_failure(later(9_000)).as_millis()).collect();
     assert_eq!(pauses, [0, 0, 0, 250, 500, 1_000]);
@@ -111,10 +112,10 @@
 #[test]
 fn a_node_that_starts_waits_for_upstreams_that_defer() {
     let defers = UpstreamState { complete: false, defers: true, ..SOUND };
-    let mut choice = SourceChoice::new(3, 0, START);
+    let mut choice = SourceSelector::new(3, 0, START);
     let mut now = later(10);
     let mut polls = 0;
-    while now < START + DEFERRAL_PATIENCE {
+    while now < START + DEFERRAL_TIMEOUT {
         let pause = choice.note_answer(now, &defers);
         assert_eq!(choice.source(), RecordSource::Undecided, "at {now:?}");
         assert!(!pause.is_zero(), "it must not be asked without a pause");
@@ -133,10 +134,10 @@
 #[test]
 fn a_deferral_does_not_hide_an_outage() {
     let away = UpstreamState { age: AGE_LIMIT * 2, complete: false, defers: true, ..SOUND };
-    let mut choice = SourceChoice::new(3, 0, START);
+    let mut choice = SourceSelector::new(3, 0, START);
     choice.note_answer(later(1_100), &away);
     assert_eq!(choice.source(), RecordSource::Store);
-    let mut following = SourceChoice::new(3, 0, START);
+    let mut following = SourceSelector::new(3, 0, START);
     following.note_answer(later(10), &SOUND);
     let defers = UpstreamState { complete: false, defers: true, ..SOUND };
     following.note_answer(later(1_000), &defers);
@@ -152,7 +153,7 @@
     fn there_is_always_a_sound_source(
         outcomes in prop::collection::vec((any::<bool>(), 0_u64..3_000, 0_u64..1_000, any::<bool>()), 1..60),
     ) {
-        let mut choice = SourceChoice::new(3, 5, START);
+        let mut choice = SourceSelector::new(3, 5, START);
         let mut now = later(2_000);
         let mut unsound_in_a_row = u32::MAX;
         for (answers, age, outage, complete) in outcomes {
@@ -164,7 +165,7 @@
                 behind: false,
             };
             let pause = if answers { choice.note_answer(now, &state) } else { choice.note_failure(now) };
-            let sound = answers && state.is_sound();
+            let sound = answers && state.is_reliable();
             unsound_in_a_row = if sound { 0 } else { unsound_in_a_row.saturating_add(1) };
             prop_assert_eq!(choice.source() == RecordSource::Upstream, unsound_in_a_row < 2);
             prop_assert!(choice.source() != RecordSource::Undecided);
--- a/crates/core/tests/simulation/actions.rs
+++ b/crates/core/tests/simulation/actions.rs
@@ -170,7 +170,7 @@
                 running.applied.push((entry.index, entry.term));
                 let is_of_own_term = entry.term == running.core.term();
                 if let Some(leasing) = running.leasing.as_mut().filter(|_| is_of_own_term) {
-                    leasing.note_settled();
+                    leasing.note_own_term_applied();
                 }
                 if entry.kind() != EntryKind::Command {
                     continue;
--- a/crates/core/tests/simulation/holder.rs
+++ b/crates/core/tests/simulation/holder.rs
@@ -5,7 +5,7 @@
 use latchwheel_core::code::ResultCode;
 use latchwheel_core::leasing::LEASE_LENGTH;
 use latchwheel_core::time::Instant;
-use latchwheel_core::unanswered::UnansweredRequests;
+use latchwheel_core::unanswered::AbandonedRequests;
 use latchwheel_protocol::v1::{CompleteItems, CompleteRequest, HeldChunk, ItemResult};
 use rand::Rng;
 use std::collections::BTreeMap;
@@ -42,7 +42,7 @@
     pub lease_request: Option<(u64, Instant)>,
     pub complete_request: Option<HandedIn>,
     pub requests: u64,
-    pub unanswered: UnansweredRequests,
+    pub unanswered: AbandonedRequests,
 }
 
 impl Holder {
@@ -146,7 +146,7 @@
             room: (2 * ENGINE_SLOTS).saturating_sub(waiting),
             held: holder.chunks(holder.send_positions),
             term: holder.term,
-            unanswered: holder.unanswered.to_tell(now),
+            unanswered: holder.unanswered.to_report(now),
         };
         let message = Message::Lease { holder: number, ask };
         self.send(Some(number), Destination::Machine(leader), message);
--- a/crates/core/tests/simulation/machine.rs
+++ b/crates/core/tests/simulation/machine.rs
@@ -231,7 +231,7 @@
                 Message::Leased { request, term: own_term, items: vec![], ended: vec![], leader, taken: false };
             return self.send(Some(number), Destination::Machine(holder), answer);
         }
-        leasing.take_back(now, node_of(holder), &unanswered, &running.state);
+        leasing.reclaim(now, node_of(holder), &unanswered, &running.state);
         let ended = leasing.renew(now, node_of(holder), &held, &running.state);
         let asker = Asker { node: node_of(holder), request };
         let mut items = Vec::new();
--- a/crates/core/tests/start_holding.rs
+++ b/crates/core/tests/start_holding.rs
@@ -1,11 +1,11 @@
 //! Requests that come before a node knows enough.
 
 use latchwheel_core::code::ResultCode;
-use latchwheel_core::start_holding::{Arrival, StartHolding, StartKnowledge, TableKnowledge};
+use latchwheel_core::start_holding::{Arrival, StartupHold, StartupState, TableState};
 use std::time::Duration;
 
-const NOTHING: StartKnowledge = StartKnowledge { table: TableKnowledge::Unknown, servers: false, leaving: false };
-const ENOUGH: StartKnowledge = StartKnowledge { table: TableKnowledge::InForce, servers: true, leaving: false };
+const NOTHING: StartupState = StartupState { table: TableState::Unknown, servers: false, leaving: false };
+const ENOUGH: StartupState = StartupState { table: TableState::InForce, servers: true, leaving: false };
 
 fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
@@ -32,7 +32,7 @@
 }
 
 impl Start {
-    fn knowledge(&self, now: Duration) -> StartKnowledge {
+    fn knowledge(&self, now: Duration) -> StartupState {
         if self.known_at.is_some_and(|known_at| known_at <= now) {
             ENOUGH
         } else {
@@ -43,7 +43,7 @@
     /// Plays it, each millisecond; requests that are held go on at the end of their time,
     /// or when enough is known.
     fn play(&self) -> Outcomes {
-        let mut holding = StartHolding::default();
+        let mut holding = StartupHold::default();
         let mut outcomes = Outcomes::default();
         let mut held: Vec<(Duration, Duration)> = Vec::new();
         let mut arrivals = (0..self.arrivals).map(|number| self.pause * number).peekable();
@@ -57,8 +57,8 @@
             }
             while arrivals.next_if(|arrival| *arrival <= now).is_some() {
                 match holding.arrive(&knowledge, self.left) {
-                    Arrival::GoesOn => outcomes.note(self, &knowledge, None),
-                    Arrival::IsHeld(time) => held.push((now, now + time)),
+                    Arrival::Proceed => outcomes.note(self, &knowledge, None),
+                    Arrival::Hold(time) => held.push((now, now + time)),
                 }
                 assert_eq!(holding.held(), held.len());
                 outcomes.most_held = outcomes.most_held.max(held.len());
@@ -70,7 +70,7 @@
 }
 
 impl Outcomes {
-    fn note(&mut self, start: &Start, knowledge: &StartKnowledge, was_held: Option<Duration>) {
+    fn note(&mut self, start: &Start, knowledge: &StartupState, was_held: Option<Duration>) {
         let held_for = was_held.unwrap_or_default();
         self.longest_held = self.longest_held.max(held_for);
         let is_served = knowledge.refusal(was_held.is_some()).is_none();
@@ -112,10 +112,10 @@
 /// for one who would wait for a day.
 #[test]
 fn nobody_is_held_for_ever() {
-    let held_for = |left| StartHolding::default().arrive(&NOTHING, left);
-    assert_eq!(held_for(Some(ms(5000))), Arrival::IsHeld(ms(4500)));
-    assert_eq!(held_for(Some(Duration::ZERO)), Arrival::IsHeld(Duration::ZERO));
-    assert_eq!(held_for(None), Arrival::IsHeld(ms(800)));
+    let held_for = |left| StartupHold::default().arrive(&NOTHING, left);
+    assert_eq!(held_for(Some(ms(5000))), Arrival::Hold(ms(4500)));
+    assert_eq!(held_for(Some(Duration::ZERO)), Arrival::Hold(Duration::ZERO));
+    assert_eq!(held_for(None), Arrival::Hold(ms(800)));
     let patient = Start { pause: ms(20), arrivals: 1, left: Some(Duration::from_secs(86_400)), known_at: None };
     assert!(patient.play().longest_held <= Duration::from_secs(30));
 }
@@ -124,16 +124,16 @@
 /// and there is room again when those that are held go on.
 #[test]
 fn memory_is_bounded() {
-    let crowd = 10 * StartHolding::LIMIT;
+    let crowd = 10 * StartupHold::LIMIT;
     let together =
         Start { pause: Duration::ZERO, arrivals: crowd as u32, left: Some(ms(1000)), known_at: Some(ms(500)) };
     let outcomes = together.play();
-    assert_eq!(outcomes.most_held, StartHolding::LIMIT);
-    assert_eq!((outcomes.served, outcomes.refused), (StartHolding::LIMIT, crowd - StartHolding::LIMIT));
-    let mut holding = StartHolding::default();
-    while holding.arrive(&NOTHING, None) != Arrival::GoesOn {}
+    assert_eq!(outcomes.most_held, StartupHold::LIMIT);
+    assert_eq!((outcomes.served, outcomes.refused), (StartupHold::LIMIT, crowd - StartupHold::LIMIT));
+    let mut holding = StartupHold::default();
+    while holding.arrive(&NOTHING, None) != Arrival::Proceed {}
     holding.leave();
-    assert_ne!(holding.arrive(&NOTHING, None), Arrival::GoesOn);
+    assert_ne!(holding.arrive(&NOTHING, None), Arrival::Proceed);
 }
 
 /// The store has told that there is no table: no request is held for one, until there is.
@@ -141,26 +141,26 @@
 fn nobody_waits_for_a_table_that_there_is_not() {
     let mut known = NOTHING;
     assert!(known.waits());
-    known.note_table_told();
-    assert_eq!(known.table, TableKnowledge::Absent);
-    assert_eq!(StartHolding::default().arrive(&known, Some(ms(5000))), Arrival::GoesOn);
+    known.note_table_received();
+    assert_eq!(known.table, TableState::Absent);
+    assert_eq!(StartupHold::default().arrive(&known, Some(ms(5000))), Arrival::Proceed);
     assert_eq!(known.refusal(false), Some(ResultCode::NotReady));
-    known.table = TableKnowledge::InForce;
+    known.table = TableState::InForce;
     assert!(known.waits(), "the servers are not known yet");
     // That all is told again changes nothing.
-    known.note_table_told();
-    assert_eq!(known.table, TableKnowledge::InForce);
+    known.note_table_received();
+    assert_eq!(known.table, TableState::InForce);
     known.servers = true;
     assert_eq!((known.waits(), known.refusal(true)), (false, None));
 }
 
 #[test]
 fn nobody_is_held_at_a_node_that_leaves() {
-    for table in [TableKnowledge::Unknown, TableKnowledge::Absent, TableKnowledge::InForce] {
-        let known = StartKnowledge { table, servers: false, leaving: true };
-        assert_eq!(StartHolding::default().arrive(&known, Some(ms(5000))), Arrival::GoesOn);
+    for table in [TableState::Unknown, TableState::Absent, TableState::InForce] {
+        let known = StartupState { table, servers: false, leaving: true };
+        assert_eq!(StartupHold::default().arrive(&known, Some(ms(5000))), Arrival::Proceed);
         assert_eq!(known.refusal(true), Some(ResultCode::Leaving));
     }
-    let serves = StartKnowledge { leaving: true, ..ENOUGH };
+    let serves = StartupState { leaving: true, ..ENOUGH };
     assert_eq!(serves.refusal(true), None, "it serves until it is gone");
 }
--- a/crates/core/tests/start_pacing.rs
+++ b/crates/core/tests/start_pacing.rs
@@ -1,6 +1,6 @@
 //! How fast nodes send after a start, before they know keepers of servers.
 
-use latchwheel_core::start_pacing::{PacedRequest, StartPacing, Turn};
+use latchwheel_core::start_pacing::{PacedRequest, PacingDecision, StartupPacer};
 use latchwheel_core::time::Instant;
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -17,22 +17,22 @@
     PacedRequest { received: at(received), timely_until: at(timely_until), until: at(received + 5000) }
 }
 
-fn waits(turn: Turn) -> u64 {
+fn waits(turn: PacingDecision) -> u64 {
     match turn {
-        Turn::Waits(number) => number,
-        Turn::Goes => panic!("it goes at once"),
+        PacingDecision::Wait(number) => number,
+        PacingDecision::Send => panic!("it goes at once"),
     }
 }
 
 #[test]
 fn a_node_sends_its_share_of_what_is_free() {
-    let mut pacing = StartPacing::default();
+    let mut pacing = StartupPacer::default();
     pacing.begin(at(0));
     pacing.set_nodes(4);
     // 8 slots, and what this node runs itself is not free any more.
-    let turns: Vec<Turn> =
+    let turns: Vec<PacingDecision> =
         (0..5_u8).map(|sent| pacing.ask(at(0), &service(), 8.0 - f64::from(sent.min(2)), request(0, 300))).collect();
-    assert_eq!(turns.iter().filter(|turn| **turn == Turn::Goes).count(), 2);
+    assert_eq!(turns.iter().filter(|turn| **turn == PacingDecision::Send).count(), 2);
     let first = waits(turns[2]);
     assert_eq!(pacing.next(at(10), "service", 6.0), None);
     pacing.note_end("service");
@@ -42,18 +42,18 @@
 
 #[test]
 fn one_request_goes_however_full_the_servers_are() {
-    let mut pacing = StartPacing::default();
+    let mut pacing = StartupPacer::default();
     pacing.begin(at(0));
     pacing.set_nodes(100);
-    assert_eq!(pacing.ask(at(0), &service(), 0.0, request(0, 300)), Turn::Goes);
+    assert_eq!(pacing.ask(at(0), &service(), 0.0, request(0, 300)), PacingDecision::Send);
     waits(pacing.ask(at(0), &service(), 0.0, request(0, 300)));
 }
 
 #[test]
 fn what_can_be_in_time_goes_first_and_who_has_left_not_at_all() {
-    let mut pacing = StartPacing::default();
+    let mut pacing = StartupPacer::default();
     pacing.begin(at(1000));
-    assert_eq!(pacing.ask(at(1000), &service(), 0.0, request(1000, 1300)), Turn::Goes);
+    assert_eq!(pacing.ask(at(1000), &service(), 0.0, request(1000, 1300)), PacingDecision::Send);
     let late = waits(pacing.ask(at(1000), &service(), 0.0, request(0, 300)));
     let gone = waits(pacing.ask(at(1000), &service(), 0.0, request(900, 1200)));
     let later = waits(pacing.ask(at(1000), &service(), 0.0, request(990, 1290)));
@@ -68,15 +68,15 @@
 
 #[test]
 fn all_go_once_it_ends() {
-    let mut pacing = StartPacing::default();
+    let mut pacing = StartupPacer::default();
     pacing.begin(at(1000));
-    assert_eq!(pacing.ask(at(1000), &service(), 0.0, request(1000, 1300)), Turn::Goes);
+    assert_eq!(pacing.ask(at(1000), &service(), 0.0, request(1000, 1300)), PacingDecision::Send);
     let late = waits(pacing.ask(at(1000), &service(), 0.0, request(0, 300)));
     let timely = waits(pacing.ask(at(1000), &service(), 0.0, request(1000, 1300)));
     assert!(pacing.ends(at(1001)).is_some());
     assert_eq!(pacing.finish(at(1001)), [timely, late]);
     assert_eq!(pacing.ends(at(1001)), None);
-    let mut by_itself = StartPacing::default();
+    let mut by_itself = StartupPacer::default();
     by_itself.begin(at(1000));
     assert_eq!(by_itself.ends(at(3001)), None);
 }
@@ -94,7 +94,7 @@
 /// A node with what waits there, by number and arrival, and what it has running.
 #[derive(Default)]
 struct Node {
-    pacing: StartPacing,
+    pacing: StartupPacer,
     waiting: Vec<(u64, u64)>,
     running: usize,
 }
@@ -164,8 +164,8 @@
             let free = (SLOTS - *running) as f64;
             let paced_request = request(received, received + TARGET_MS);
             match paced.then(|| pacing.ask(at(now), &service(), free, paced_request)) {
-                Some(Turn::Waits(number)) => waiting.push((number, received)),
-                Some(Turn::Goes) | None => {
+                Some(PacingDecision::Wait(number)) => waiting.push((number, received)),
+                Some(PacingDecision::Send) | None => {
                     *running += 1;
                     servers.queue.push_back((received, node));
                 }
@@ -203,9 +203,9 @@
 /// Room may come about without the end of a request: servers become known, or other nodes go.
 #[test]
 fn a_request_that_waits_gets_its_turn_where_a_later_one_finds_room() {
-    let mut pacing = StartPacing::default();
+    let mut pacing = StartupPacer::default();
     pacing.begin(at(0));
-    assert_eq!(pacing.ask(at(0), &service(), 0.0, request(0, 300)), Turn::Goes);
+    assert_eq!(pacing.ask(at(0), &service(), 0.0, request(0, 300)), PacingDecision::Send);
     let first = waits(pacing.ask(at(1), &service(), 0.0, request(1, 301)));
     let second = waits(pacing.ask(at(2), &service(), 3.0, request(2, 302)));
     assert_eq!(pacing.next(at(2), "service", 3.0), Some(first));
--- a/crates/core/tests/store_outage.rs
+++ b/crates/core/tests/store_outage.rs
@@ -2,7 +2,7 @@
 //! upstreams and lost polls: what they call, and when they know of its return.
 
 use latchwheel_core::circuit_breaker::{CircuitBreaker, ProbePolicy, LONGEST_SHARED_PAUSE};
-use latchwheel_core::record_source::{PollWait, RecordSource, SourceChoice, UpstreamState};
+use latchwheel_core::record_source::{PollCondition, RecordSource, SourceSelector, UpstreamState};
 use latchwheel_core::time::Instant;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -68,7 +68,7 @@
 }
 
 struct Node {
-    choice: SourceChoice,
+    choice: SourceSelector,
     breaker: CircuitBreaker,
     /// When the poll on its way was sent, or when the next one is.
     poll_at: Instant,
@@ -81,7 +81,7 @@
     fn new(number: usize) -> Self {
         let policy = ProbePolicy { calls_per_second: CALLS_PER_SECOND, nodes: NODES, relied_on: false };
         Self {
-            choice: SourceChoice::new(UPSTREAMS, number as u64, START),
+            choice: SourceSelector::new(UPSTREAMS, number as u64, START),
             breaker: CircuitBreaker::new(policy),
             poll_at: START,
             next_call: START,
@@ -94,9 +94,9 @@
         let Some(number) = self.choice.upstream().filter(|_| now >= self.poll_at) else { return };
         let state = upstreams[number].state(now);
         let waits = match self.choice.poll_wait() {
-            PollWait::Nothing => false,
-            PollWait::News => now.since(self.poll_at) < HOLD,
-            PollWait::Soundness => !state.is_sound() && now.since(self.poll_at) < HOLD,
+            PollCondition::Nothing => false,
+            PollCondition::Change => now.since(self.poll_at) < HOLD,
+            PollCondition::Reliable => !state.is_reliable() && now.since(self.poll_at) < HOLD,
         };
         if waits {
             return;
@@ -113,7 +113,7 @@
     }
 
     fn hear(&mut self, now: Instant, state: &UpstreamState, trouble: &Trouble, draw: f64) {
-        if state.is_sound() {
+        if state.is_reliable() {
             self.knows = self.knows.max(now - state.age);
             self.breaker.note_told_answering(now);
         } else if self.choice.source() == RecordSource::Store && !trouble.ignores_upstreams {
--- a/crates/jobs/src/asked_ends.rs
+++ b/crates/jobs/src/asked_ends.rs
@@ -5,7 +5,7 @@
 //! the other, until the store has taken it. Disks of workers keep it too, for the case
 //! that this node ends before that (`spooled_ends`).
 
-use crate::desk::{DeskFault, PAUSE, STORE_PATIENCE};
+use crate::desk::{DeskFault, PAUSE, STORE_TIMEOUT};
 use crate::ending::Ender;
 use crate::nodes::Nodes;
 use crate::spool::hand_out_end;
@@ -58,7 +58,7 @@
         // The store may leave a call without an answer for longer than the caller waits.
         let trying = tokio::time::timeout_at(until.into(), self.try_until(&job, caller.as_deref(), until.into()));
         let keeping = async {
-            tokio::time::sleep(STORE_PATIENCE).await;
+            tokio::time::sleep(STORE_TIMEOUT).await;
             self.keep_on_disks(HandedEnd { job: job.clone(), caller: caller.clone() }).await;
             std::future::pending().await
         };
--- a/crates/jobs/src/desk.rs
+++ b/crates/jobs/src/desk.rs
@@ -17,7 +17,7 @@
 use std::time::{Duration, Instant};
 
 /// Time after which a job, or the end of one, goes to the workers' disks too.
-pub(crate) const STORE_PATIENCE: Duration = Duration::from_millis(120);
+pub(crate) const STORE_TIMEOUT: Duration = Duration::from_millis(120);
 /// Further time after which a node that hears of no worker either hands a job
 /// to another front.
 const CUT_OFF_PATIENCE: Duration = Duration::from_millis(150);
@@ -124,7 +124,7 @@
         let assigned = assign(job, &workers, |worker| self.nodes.waiting_at(worker));
         let handed = Arc::new(Handed::new(submission, body, assigned.as_deref()));
         let cut_off = async {
-            tokio::time::sleep(STORE_PATIENCE + CUT_OFF_PATIENCE).await;
+            tokio::time::sleep(STORE_TIMEOUT + CUT_OFF_PATIENCE).await;
             if self.nodes.hears_any_worker() {
                 std::future::pending::<()>().await;
             }
@@ -139,7 +139,7 @@
     /// Keeps a job in the store or on disks, by what this node itself reaches.
     pub(crate) async fn keep(&self, job: &str, handed: &Arc<Handed>, until: Instant) -> Result<Taken, DeskFault> {
         let mut writing = tokio::spawn(write_job(self.store.clone(), job.to_owned(), handed.clone(), until));
-        let patience = tokio::time::sleep(STORE_PATIENCE);
+        let patience = tokio::time::sleep(STORE_TIMEOUT);
         tokio::select! {
             written = &mut writing => match written.unwrap_or(Err(DeskFault::Unknown)) {
                 Err(DeskFault::Refused | DeskFault::Unknown) => {}
--- a/crates/jobs/src/item_starts.rs
+++ b/crates/jobs/src/item_starts.rs
@@ -9,7 +9,7 @@
 use futures::FutureExt;
 use latchwheel_core::dispatch::{Ask, Choice, Placement, Prompt};
 use latchwheel_core::item_progress::{GiveUpRules, ItemProgress, RunEnd};
-use latchwheel_core::item_urgency::{start_list, StartList, TimeLeft};
+use latchwheel_core::item_urgency::{start_list, RemainingTime, StartPlan};
 use latchwheel_core::listing_pause::CLOSE_TO_DUE;
 use latchwheel_core::routes::Route;
 use latchwheel_core::time::Instant;
@@ -55,7 +55,7 @@
         if self.pressed_excess(&route).is_some_and(|excess| excess >= 0) {
             return;
         }
-        let StartList { positions: waiting, overdue } = self.items_to_start(now, &route);
+        let StartPlan { positions: waiting, overdue } = self.items_to_start(now, &route);
         let rank = StartRank {
             route: route.name.clone(),
             late: overdue,
@@ -132,10 +132,10 @@
     }
 
     /// Items that may start now, in their order.
-    fn items_to_start(&self, now: Instant, route: &Route) -> StartList {
+    fn items_to_start(&self, now: Instant, route: &Route) -> StartPlan {
         let times = self.context.run_times(route);
-        let until_due = route.due.saturating_sub(self.age());
-        let left = TimeLeft { until_due, listing: CLOSE_TO_DUE };
+        let time_until_due = route.due.saturating_sub(self.age());
+        let left = RemainingTime { time_until_due, listing: CLOSE_TO_DUE };
         let may_start = |position: &usize| self.progress[*position].may_start(now);
         let waiting = (0..self.items.len()).filter(may_start);
         let with_events = waiting.map(|position| (position, self.progress[position].events()));
--- a/crates/node/src/batch/mod.rs
+++ b/crates/node/src/batch/mod.rs
@@ -13,7 +13,7 @@
 use latchwheel_core::leasing::LEASE_LENGTH;
 use latchwheel_core::scheduler::Work;
 use latchwheel_core::table::{Class, Row, Table};
-use latchwheel_core::unanswered::UnansweredRequests;
+use latchwheel_core::unanswered::AbandonedRequests;
 use latchwheel_engine::EngineClient;
 use latchwheel_gateway::prepare_item;
 use latchwheel_protocol::v1::{HeldChunk, LeaseAnswer, LeaseRequest, LeasedItem, ServiceRoom};
@@ -135,7 +135,7 @@
         let mut term = 0;
         let mut renewed = Instant::now();
         let mut empty: HashMap<String, EmptyService> = HashMap::new();
-        let mut unanswered = UnansweredRequests::default();
+        let mut unanswered = AbandonedRequests::default();
         loop {
             // After a request that was given up the leases are only renewed: that needs no
             // commit, which may be what the leader lacks.
@@ -174,8 +174,8 @@
     }
 
     /// Asks for items; `None` where the answer is not taken, which is told from then on.
-    async fn ask(&self, request: &LeaseRequest, unanswered: &mut UnansweredRequests) -> Option<LeaseAnswer> {
-        let told = unanswered.to_tell(self.owner.now());
+    async fn ask(&self, request: &LeaseRequest, unanswered: &mut AbandonedRequests) -> Option<LeaseAnswer> {
+        let told = unanswered.to_report(self.owner.now());
         let told_before = told.len();
         let mut request = LeaseRequest { group: self.group, node: self.node, unanswered: told, ..request.clone() };
         let asks_for_items = !request.rooms.is_empty();
--- a/crates/proxy/src/caller.rs
+++ b/crates/proxy/src/caller.rs
@@ -4,7 +4,7 @@
 use crate::shared::Shared;
 use hyper::header::{HeaderMap, HeaderValue, AUTHORIZATION};
 use latchwheel_core::code::ResultCode;
-use latchwheel_core::key_life::KeyLife;
+use latchwheel_core::key_life::KeyAcceptance;
 use latchwheel_core::routes::RoutingTable;
 use latchwheel_core::tenants::{Tenant, UnknownKey};
 use std::sync::{Arc, MutexGuard, PoisonError};
@@ -42,7 +42,7 @@
     /// ago.
     pub fn note_keys_kept(&self, age: Duration) {
         let now = self.clock.now();
-        self.key_life().note_kept(now, age);
+        self.key_life().note_snapshot_used(now, age);
     }
 
     /// A source has told what the table is now.
@@ -73,7 +73,7 @@
         table.caller(None, public).map_err(|UnknownKey| ResultCode::NotReady)
     }
 
-    fn key_life(&self) -> MutexGuard<'_, KeyLife> {
+    fn key_life(&self) -> MutexGuard<'_, KeyAcceptance> {
         self.key_life.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
--- a/crates/proxy/src/machine_room.rs
+++ b/crates/proxy/src/machine_room.rs
@@ -2,7 +2,9 @@
 
 use latchwheel_clock::process;
 use latchwheel_core::identity::NodeId;
-use latchwheel_core::room::{MachineCapacity, ProcessUsage, Room, RoomChange, RoomGauge, RoomsElsewhere, RoomsTold};
+use latchwheel_core::room::{
+    Headroom, HeadroomChange, HeadroomGauge, MachineCapacity, PeerHeadroom, PeerHeadroomCounts, ProcessUsage,
+};
 use latchwheel_core::time::Instant;
 use latchwheel_events::{emit, Event};
 use latchwheel_protocol::v1;
@@ -23,26 +25,26 @@
 
 #[derive(Debug, Default)]
 struct State {
-    gauge: Option<RoomGauge>,
-    elsewhere: RoomsElsewhere,
+    gauge: Option<HeadroomGauge>,
+    elsewhere: PeerHeadroom,
     busy_since: Option<Instant>,
-    least: Room,
+    least: Headroom,
     line_at: Option<Instant>,
 }
 
 impl MachineRoom {
     /// The limits of this machine; its room is measured from now on.
     pub fn set_capacity(&self, capacity: MachineCapacity) {
-        self.lock().gauge = capacity.is_known().then(|| RoomGauge::new(capacity));
+        self.lock().gauge = capacity.is_known().then(|| HeadroomGauge::new(capacity));
     }
 
     /// What is left of this machine's limits; `None` where they are not known.
-    pub fn own(&self) -> Option<Room> {
-        self.lock().gauge.as_ref().map(RoomGauge::room)
+    pub fn own(&self) -> Option<Headroom> {
+        self.lock().gauge.as_ref().map(HeadroomGauge::room)
     }
 
     /// The other nodes that tell their room.
-    pub fn others(&self, now: Instant) -> RoomsTold {
+    pub fn others(&self, now: Instant) -> PeerHeadroomCounts {
         self.lock().elsewhere.all(now)
     }
 
@@ -56,7 +58,7 @@
     /// Looks now and then at what the process uses.
     pub(crate) fn look(&self, now: Instant, keeps_servers: bool) {
         let mut state = self.lock();
-        if state.gauge.as_ref().is_some_and(|gauge| gauge.look_is_due(now)) {
+        if state.gauge.as_ref().is_some_and(|gauge| gauge.sample_is_due(now)) {
             state.look(now, keeps_servers);
         }
     }
@@ -68,7 +70,7 @@
     }
 
     /// A sum over all nodes told of their rooms.
-    pub(crate) fn note_sum(&self, now: Instant, rooms: RoomsTold) {
+    pub(crate) fn note_sum(&self, now: Instant, rooms: PeerHeadroomCounts) {
         self.lock().elsewhere.note_sum(now, rooms);
     }
 
@@ -80,7 +82,7 @@
     }
 
     /// All nodes that tell their room, this one among them.
-    pub(crate) fn sum(&self, now: Instant) -> RoomsTold {
+    pub(crate) fn sum(&self, now: Instant) -> PeerHeadroomCounts {
         let state = self.lock();
         let mut rooms = state.elsewhere.heard(now);
         if let Some(gauge) = &state.gauge {
@@ -101,25 +103,25 @@
         let change = gauge.note_usage(now, &usage());
         let (room, delay) = (gauge.room(), gauge.delay());
         match change {
-            Some(RoomChange::Busy) => self.note_busy(now, room, delay),
-            Some(RoomChange::Free) => self.note_free(now, room),
+            Some(HeadroomChange::Busy) => self.note_busy(now, room, delay),
+            Some(HeadroomChange::Free) => self.note_free(now, room),
             None => {}
         }
-        self.least = self.least.least_of_each(&room);
+        self.least = self.least.min_of_each(&room);
         self.tell_least(now, keeps_servers);
     }
 
-    fn note_busy(&mut self, now: Instant, room: Room, delay: Duration) {
+    fn note_busy(&mut self, now: Instant, room: Headroom, delay: Duration) {
         self.busy_since = Some(now);
         let others = self.elsewhere.all(now);
-        let Room { processor, delay: delay_left, memory, descriptors } = room;
+        let Headroom { processor, delay: delay_left, memory, descriptors } = room;
         let delay_ms = delay.as_millis() as u64;
         let (others, others_busy) = (others.nodes, others.busy);
         let delay = delay_left;
         emit("", &Event::MachineBusy { processor, delay, memory, descriptors, delay_ms, others, others_busy });
     }
 
-    fn note_free(&mut self, now: Instant, room: Room) {
+    fn note_free(&mut self, now: Instant, room: Headroom) {
         let since = self.busy_since.take().unwrap_or(now);
         let busy_ms = now.since(since).as_millis() as u64;
         emit("", &Event::MachineFree { room: room.least(), busy_ms });
@@ -131,7 +133,7 @@
             return;
         }
         self.line_at = Some(now);
-        let Room { processor, delay, memory, descriptors } = std::mem::take(&mut self.least);
+        let Headroom { processor, delay, memory, descriptors } = std::mem::take(&mut self.least);
         emit("", &Event::MachineRoom { processor, delay, memory, descriptors, keeps_servers });
     }
 }
--- a/crates/proxy/src/peers/sums.rs
+++ b/crates/proxy/src/peers/sums.rs
@@ -4,7 +4,7 @@
 use crate::dialect::Dialect;
 use latchwheel_core::dispatch::{NodeShares, SharesSum};
 use latchwheel_core::identity::NodeId;
-use latchwheel_core::room::RoomsTold;
+use latchwheel_core::room::PeerHeadroomCounts;
 use latchwheel_protocol::{v1, Message};
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -60,7 +60,7 @@
     fn note_rooms(&self, report: &v1::ServerShares) {
         let own = self.shared.machine_room.message();
         let own_busy = own.is_some_and(|room| room.busy);
-        let others = RoomsTold {
+        let others = PeerHeadroomCounts {
             nodes: report.rooms_told.saturating_sub(u32::from(own.is_some())),
             busy: report.busy_nodes.saturating_sub(u32::from(own_busy)),
         };
--- a/crates/proxy/src/place.rs
+++ b/crates/proxy/src/place.rs
@@ -6,7 +6,7 @@
 use hyper::Response;
 use latchwheel_core::code::ResultCode;
 use latchwheel_core::dispatch::{Ask, Choice, Placement};
-use latchwheel_core::holding::{longest_hold, timely_wait};
+use latchwheel_core::holding::{max_hold, timely_wait};
 use latchwheel_core::start_pacing::PacedRequest;
 use latchwheel_events::{emit, Event};
 use latchwheel_http::Body;
@@ -75,7 +75,7 @@
         let Some(choice) = self.ask_keepers_or_wait().await else { return self.choose() };
         let Choice::Full(_) = choice else { return choice };
         let now = self.shared.clock.now();
-        if !self.shared.held().is_worth_while(now, &self.service, rand::random()) {
+        if !self.shared.held().should_hold(now, &self.service, rand::random()) {
             return choice;
         }
         let held = self.hold().await;
@@ -89,7 +89,7 @@
 
     /// Asks for a free slot now and then.
     async fn hold(&self) -> Choice {
-        let end = self.shared.clock.now() + self.longest_hold();
+        let end = self.shared.clock.now() + self.max_hold();
         loop {
             tokio::time::sleep(HOLD_PAUSE.mul_f64(1.0 + rand::random::<f64>())).await;
             match self.shared.placements.ask_for_free(&self.shared, &self.place_ask()).await {
@@ -103,10 +103,10 @@
     }
 
     /// Longest time to wait for a slot from now on.
-    pub(crate) fn longest_hold(&self) -> Duration {
+    pub(crate) fn max_hold(&self) -> Duration {
         let waited = self.shared.clock.now().since(self.received);
         let patience = self.route.caller_patience.map(|patience| patience.saturating_sub(waited));
-        longest_hold(self.left(), patience)
+        max_hold(self.left(), patience)
     }
 
     /// Asks keepers for a place. Where none is known yet after a start, the request waits
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -13,8 +13,8 @@
 use latchwheel_clock::Clock;
 use latchwheel_core::directory::DirectoryChange;
 use latchwheel_core::dispatch::{Dispatcher, ServerKey};
-use latchwheel_core::holding::HeldOutcomes;
-use latchwheel_core::key_life::KeyLife;
+use latchwheel_core::holding::HoldOutcomes;
+use latchwheel_core::key_life::KeyAcceptance;
 use latchwheel_core::permits::LimitMargin;
 use latchwheel_core::routes::{Route, RoutingTable, WeightedTurns};
 use latchwheel_core::second_attempt::SecondAttempts;
@@ -52,9 +52,9 @@
     dispatcher: Mutex<Dispatcher>,
     table: Mutex<Arc<RoutingTable>>,
     /// Until when keys of the table in force are accepted.
-    pub(crate) key_life: Mutex<KeyLife>,
+    pub(crate) key_life: Mutex<KeyAcceptance>,
     turns: Mutex<WeightedTurns>,
-    held: Mutex<HeldOutcomes>,
+    held: Mutex<HoldOutcomes>,
     second_attempts: Mutex<SecondAttempts>,
     /// Newest version of the table that another node told of.
     newest_table: AtomicU64,
@@ -191,7 +191,7 @@
     }
 
     /// How requests ended that were held.
-    pub(crate) fn held(&self) -> MutexGuard<'_, HeldOutcomes> {
+    pub(crate) fn held(&self) -> MutexGuard<'_, HoldOutcomes> {
         lock(&self.held)
     }
 
--- a/crates/proxy/src/start.rs
+++ b/crates/proxy/src/start.rs
@@ -8,7 +8,7 @@
 use hyper::header::HeaderMap;
 use hyper::Request;
 use latchwheel_core::code::ResultCode;
-use latchwheel_core::start_holding::{Arrival, StartHolding, StartKnowledge, TableKnowledge};
+use latchwheel_core::start_holding::{Arrival, StartupHold, StartupState, TableState};
 use latchwheel_core::time::Instant as CoreInstant;
 use latchwheel_events::{emit, Event};
 use std::sync::{Mutex, MutexGuard, PoisonError};
@@ -28,8 +28,8 @@
 #[derive(Debug)]
 pub(crate) struct Start {
     at: Instant,
-    known: watch::Sender<StartKnowledge>,
-    holding: Mutex<StartHolding>,
+    known: watch::Sender<StartupState>,
+    holding: Mutex<StartupHold>,
     pub(crate) turns: StartTurns,
 }
 
@@ -47,7 +47,7 @@
 impl Start {
     /// A table is in force.
     pub(crate) fn note_table(&self, now: CoreInstant) {
-        self.note(now, |known| known.table = TableKnowledge::InForce);
+        self.note(now, |known| known.table = TableState::InForce);
     }
 
     /// The process leaves: nothing is held any more.
@@ -60,7 +60,7 @@
         self.known.borrow().refusal(was_held)
     }
 
-    fn note(&self, now: CoreInstant, change: impl FnOnce(&mut StartKnowledge)) {
+    fn note(&self, now: CoreInstant, change: impl FnOnce(&mut StartupState)) {
         let mut serves_now = false;
         self.known.send_if_modified(|known| {
             let before = *known;
@@ -75,7 +75,7 @@
         }
     }
 
-    fn lock(&self) -> MutexGuard<'_, StartHolding> {
+    fn lock(&self) -> MutexGuard<'_, StartupHold> {
         self.holding.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
@@ -97,8 +97,8 @@
 
     /// All of the operator's records are known: where no table is in force now, there is
     /// none.
-    pub fn note_table_told(&self) {
-        self.start.note(self.clock.now(), StartKnowledge::note_table_told);
+    pub fn note_table_received(&self) {
+        self.start.note(self.clock.now(), StartupState::note_table_received);
     }
 
     /// Holds a request until the process knows a table and servers, for as long as its
@@ -109,7 +109,7 @@
         let mut known = self.start.known.subscribe();
         let now_known = *known.borrow();
         let arrival = self.start.lock().arrive(&now_known, self.deadline_of(headers));
-        let Arrival::IsHeld(longest) = arrival else { return false };
+        let Arrival::Hold(longest) = arrival else { return false };
         let _place = HeldPlace(&self.start);
         let _ = tokio::time::timeout(longest, known.wait_for(|known| !known.waits())).await;
         true
--- a/crates/proxy/src/start_pacing.rs
+++ b/crates/proxy/src/start_pacing.rs
@@ -4,7 +4,7 @@
 
 use crate::dialect::Dialect;
 use crate::shared::Shared;
-use latchwheel_core::start_pacing::{PacedRequest, StartPacing, Turn};
+use latchwheel_core::start_pacing::{PacedRequest, PacingDecision, StartupPacer};
 use latchwheel_core::time::Instant;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -12,7 +12,7 @@
 
 #[derive(Debug, Default)]
 struct State {
-    pacing: StartPacing,
+    pacing: StartupPacer,
     waiting: HashMap<u64, oneshot::Sender<()>>,
 }
 
@@ -116,7 +116,7 @@
         let free_slots = self.free_slots_of(service);
         let (number, turn) = {
             let mut state = turns.lock();
-            let Turn::Waits(number) = state.pacing.ask(now, service, free_slots, request) else {
+            let PacingDecision::Wait(number) = state.pacing.ask(now, service, free_slots, request) else {
                 drop(state);
                 return Some(StartTurn { shared: self.clone(), service: service.clone() });
             };
--- a/crates/proxy/src/turn.rs
+++ b/crates/proxy/src/turn.rs
@@ -73,7 +73,7 @@
             route: RouteKey::of(&self.route.name),
             work: work_of(&self.outgoing.prompt),
             timely_until: self.received + timely_wait(self.route.latency_target),
-            waits_until: self.shared.clock.now() + self.longest_hold(),
+            waits_until: self.shared.clock.now() + self.max_hold(),
         }
     }
 
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -1,7 +1,7 @@
 //! Nodes that tell each other of their requests by datagrams.
 
 use latchwheel_core::dispatch::{Ask, Choice, Placement, Prompt, ServerKey};
-use latchwheel_core::room::{MachineCapacity, RoomsTold};
+use latchwheel_core::room::{MachineCapacity, PeerHeadroomCounts};
 use latchwheel_core::routes::RequestKind;
 use latchwheel_proxy::{exchange_shares, Exchange, Outgoing, Peer, PeerDuties, Peers, Shared};
 use std::sync::Arc;
@@ -157,11 +157,11 @@
         nodes[2].shared.machine_room.set_capacity(full);
         nodes[3].shared.machine_room.set_capacity(full);
         let others = |node: &Node| node.shared.machine_room.others(node.shared.clock.now());
-        until(|| others(&nodes[0]) == RoomsTold { nodes: 3, busy: 2 }, "a node that tells nothing").await;
-        until(|| others(&nodes[1]) == RoomsTold { nodes: 2, busy: 2 }, "a node with room").await;
-        until(|| others(&nodes[2]) == RoomsTold { nodes: 2, busy: 1 }, "a busy node").await;
-        until(|| others(&nodes[4]) == RoomsTold { nodes: 3, busy: 2 }, "another node").await;
+        until(|| others(&nodes[0]) == PeerHeadroomCounts { nodes: 3, busy: 2 }, "a node that tells nothing").await;
+        until(|| others(&nodes[1]) == PeerHeadroomCounts { nodes: 2, busy: 2 }, "a node with room").await;
+        until(|| others(&nodes[2]) == PeerHeadroomCounts { nodes: 2, busy: 1 }, "a busy node").await;
+        until(|| others(&nodes[4]) == PeerHeadroomCounts { nodes: 3, busy: 2 }, "another node").await;
         nodes[2].task.abort();
-        until(|| others(&nodes[4]) == RoomsTold { nodes: 2, busy: 1 }, "a dead node is none").await;
+        until(|| others(&nodes[4]) == PeerHeadroomCounts { nodes: 2, busy: 1 }, "a dead node is none").await;
     }
 }
--- a/crates/proxy/tests/start.rs
+++ b/crates/proxy/tests/start.rs
@@ -5,7 +5,7 @@
 use hyper::header::HeaderMap;
 use latchwheel_clock::Clock;
 use latchwheel_core::routes::{ClientLimits, RequestKind, RoutingTable};
-use latchwheel_core::start_holding::StartHolding;
+use latchwheel_core::start_holding::StartupHold;
 use latchwheel_core::tenants::Tenants;
 use latchwheel_proxy::Shared;
 use std::collections::HashMap;
@@ -86,7 +86,7 @@
 #[tokio::test(start_paused = true)]
 async fn requests_beyond_the_bound_of_memory_do_not_wait() {
     let shared = starting_node();
-    let held: Vec<_> = (0..StartHolding::LIMIT).map(|_| hold(&shared, headers("5000"))).collect();
+    let held: Vec<_> = (0..StartupHold::LIMIT).map(|_| hold(&shared, headers("5000"))).collect();
     tokio::time::sleep(Duration::from_millis(1)).await;
     assert_eq!(timeout(Duration::ZERO, shared.hold_at_start(&headers("5000"))).await, Ok(false));
     // A caller that leaves makes room.
@@ -126,7 +126,7 @@
     let waiting = hold(&shared, headers("5000"));
     advance(Duration::from_millis(300)).await;
     assert!(!waiting.is_finished(), "nothing is known yet");
-    shared.note_table_told();
+    shared.note_table_received();
     assert!(timeout(Duration::from_millis(1), waiting).await.unwrap().unwrap());
     assert_eq!(timeout(Duration::ZERO, shared.hold_at_start(&headers("5000"))).await, Ok(false));
     put_table_in_force(&shared);
--- a/crates/proxy/tests/tenants.rs
+++ b/crates/proxy/tests/tenants.rs
@@ -6,7 +6,7 @@
 use hyper::header::HeaderMap;
 use hyper::{Method, Request};
 use latchwheel_core::routes::{ClientLimits, RequestKind, Route, RoutingTable};
-use latchwheel_core::start_snapshot::LONGEST_AGE;
+use latchwheel_core::start_snapshot::MAX_SNAPSHOT_AGE;
 use latchwheel_core::tenants::{RateLimit, Tenant, TenantKey, Tenants};
 use latchwheel_http::{full, Client};
 use latchwheel_proxy::{bearer_key, exchange_shares, PeerDuties, Peers, Shared};
@@ -86,9 +86,9 @@
 async fn keys_of_a_table_that_was_confirmed_too_long_ago_are_not_accepted() {
     let server = TestServer::start("one", answers(3)).await;
     let node = start(&server, vec![tenant("red", 0.0, &["key-1"])], false).await;
-    node.shared.note_keys_kept(LONGEST_AGE / 2);
+    node.shared.note_keys_kept(MAX_SNAPSHOT_AGE / 2);
     assert_eq!(node.ask(Some("Bearer key-1")).await.0, 200);
-    node.shared.note_keys_kept(LONGEST_AGE);
+    node.shared.note_keys_kept(MAX_SNAPSHOT_AGE);
     assert_eq!(node.ask(Some("Bearer key-1")).await.0, 503);
     assert_eq!(node.ask(Some("Bearer key-9")).await.0, 503);
     let public = Route { public: true, ..route(KIND, 1) };
--- a/crates/records/src/entry.rs
+++ b/crates/records/src/entry.rs
@@ -7,7 +7,7 @@
 use crate::told_news::{ListBudget, ToldNews};
 use crate::RecordsFault;
 use latchwheel_clock::Clock;
-use latchwheel_core::start_snapshot::{age_of, is_too_old, Knowledge};
+use latchwheel_core::start_snapshot::{is_too_old, snapshot_age, RecordState};
 use latchwheel_core::time::WallTime;
 use latchwheel_events::{emit, note_records_age, Event};
 use latchwheel_protocol::v1;
@@ -125,16 +125,16 @@
 
     /// Time since the store confirmed what is known, where that can be told.
     pub(crate) fn age(&self) -> Option<Duration> {
-        let kept = self.kept.map(|confirmed| age_of(confirmed, self.clock.wall_time()));
+        let kept = self.kept.map(|confirmed| snapshot_age(confirmed, self.clock.wall_time()));
         kept.or(self.complete_as_of.map(|at| at.elapsed()))
     }
 
     /// What is known of the prefix, and from when.
-    pub(crate) fn knowledge(&self) -> Knowledge {
+    pub(crate) fn knowledge(&self) -> RecordState {
         match (self.cached.is_known(), self.kept) {
-            (false, _) => Knowledge::Nothing,
-            (true, Some(_)) => Knowledge::Kept(self.cached.revision()),
-            (true, None) => Knowledge::Told,
+            (false, _) => RecordState::Nothing,
+            (true, Some(_)) => RecordState::Stored(self.cached.revision()),
+            (true, None) => RecordState::Received,
         }
     }
 
--- a/crates/records/src/kept.rs
+++ b/crates/records/src/kept.rs
@@ -14,7 +14,9 @@
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::{Method, StatusCode};
-use latchwheel_core::start_snapshot::{age_of, is_better, replaces, Knowledge, StartSnapshots, StoreContact};
+use latchwheel_core::start_snapshot::{
+    is_newer_revision, replaces, snapshot_age, RecordState, StartSnapshots, StoreReachability,
+};
 use latchwheel_core::time::{Instant as CoreInstant, WallTime};
 use latchwheel_events::{emit, Event};
 use latchwheel_http::{read_bounded, Client};
@@ -115,10 +117,10 @@
     async fn believe_where_needed(self: Arc<Self>, kept: Vec<v1::StartSnapshot>) {
         let needed = |snapshot: &v1::StartSnapshot| {
             let prefix = snapshot.records.as_ref().map_or("", |records| &records.prefix);
-            self.knowledge_of(prefix) != Knowledge::Told
+            self.knowledge_of(prefix) != RecordState::Received
         };
         while kept.iter().any(needed) {
-            if self.may_believe() {
+            if self.may_use_snapshots() {
                 kept.into_iter().for_each(|snapshot| {
                     self.take_snapshot(snapshot, "disk");
                 });
@@ -160,7 +162,7 @@
     fn told_change(&self, prefix: &str) -> Option<u64> {
         let entries = lock(&self.entries);
         let entry = entries.get(prefix)?;
-        (entry.knowledge() == Knowledge::Told).then(|| entry.cached.changed_at())
+        (entry.knowledge() == RecordState::Received).then(|| entry.cached.changed_at())
     }
 
     /// What is known of a prefix, to be kept or handed on.
@@ -173,18 +175,18 @@
         Some(v1::StartSnapshot { deployment, confirmed_ms: confirmed.0, records: Some(records) })
     }
 
-    fn store_contact(&self) -> StoreContact {
-        let told_answering = self.contact.answering_for().is_some();
-        StoreContact { own_age: self.contact.own_age(), told_answering }
+    fn store_contact(&self) -> StoreReachability {
+        let upstream_reaches_store = self.contact.answering_for().is_some();
+        StoreReachability { own_age: self.contact.own_age(), upstream_reaches_store }
     }
 
-    fn may_believe(&self) -> bool {
+    fn may_use_snapshots(&self) -> bool {
         self.start.deployment.get().is_some()
-            && lock(&self.start.snapshots).may_believe(self.clock.now(), self.store_contact())
+            && lock(&self.start.snapshots).may_use_snapshots(self.clock.now(), self.store_contact())
     }
 
-    fn knowledge_of(&self, prefix: &str) -> Knowledge {
-        lock(&self.entries).get(prefix).map_or(Knowledge::Nothing, |entry| entry.knowledge())
+    fn knowledge_of(&self, prefix: &str) -> RecordState {
+        lock(&self.entries).get(prefix).map_or(RecordState::Nothing, |entry| entry.knowledge())
     }
 
     /// Believes a snapshot if it is to be believed; `true` if it was.
@@ -194,7 +196,7 @@
         let (revision, confirmed) = (records.revision, WallTime(snapshot.confirmed_ms));
         let now = self.clock.wall_time();
         let believed = |known| replaces(known, revision, confirmed, now);
-        self.may_believe() && self.take_kept(records, (confirmed, Origin::Snapshot), from, believed)
+        self.may_use_snapshots() && self.take_kept(records, (confirmed, Origin::Snapshot), from, believed)
     }
 
     /// Takes what an upstream told that the store doesn't answer, if nothing better is
@@ -216,7 +218,7 @@
         }
         // Whose age is unknown is never handed on as if it were new.
         let confirmed = age.map_or(WallTime::default(), |age| now - age);
-        self.take_kept(told, (confirmed, Origin::Upstream), upstream, |known| is_better(known, revision));
+        self.take_kept(told, (confirmed, Origin::Upstream), upstream, |known| is_newer_revision(known, revision));
     }
 
     /// Takes records that are kept, or that a node out of touch with the store knows, if
@@ -226,7 +228,7 @@
         told: v1::PrefixRecords,
         (confirmed, origin): (WallTime, Origin),
         from: &str,
-        believed: impl FnOnce(Knowledge) -> bool,
+        believed: impl FnOnce(RecordState) -> bool,
     ) -> bool {
         let (prefix, revision) = (told.prefix.clone(), told.revision);
         let now = self.clock.wall_time();
@@ -239,7 +241,7 @@
             entry.take_kept(read_news(told, None, origin), confirmed);
         }
         self.note_change();
-        let age_ms = age_of(confirmed, now).as_millis() as u64;
+        let age_ms = snapshot_age(confirmed, now).as_millis() as u64;
         emit("", &Event::RecordsFromSnapshot { prefix: &prefix, from, revision, age_ms, records });
         true
     }
@@ -270,7 +272,7 @@
         let known = self.knowledge_of(&position.prefix);
         let (now, contact) = (self.clock.now(), self.store_contact());
         let snapshots = lock(&self.start.snapshots);
-        snapshots.would_call(now, contact, &position.prefix, known, position.revision)
+        snapshots.should_fetch(now, contact, &position.prefix, known, position.revision)
     }
 
     /// The prefixes for which an asker is called.
@@ -303,7 +305,7 @@
 
     /// Takes a snapshot that another node hands on.
     pub(crate) async fn take_handed_on(&self, body: Incoming) -> StatusCode {
-        if !self.may_believe() {
+        if !self.may_use_snapshots() {
             return StatusCode::CONFLICT;
         }
         let Ok(bytes) = read_bounded(body, HANDED_LIMIT, HANDED_TIME).await else {
--- a/crates/records/src/watch_cache.rs
+++ b/crates/records/src/watch_cache.rs
@@ -19,8 +19,8 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
 use latchwheel_clock::Clock;
-use latchwheel_core::record_source::{PollWait, RecordSource, SourceChoice, UpstreamState};
-use latchwheel_core::start_snapshot::Knowledge;
+use latchwheel_core::record_source::{PollCondition, RecordSource, SourceSelector, UpstreamState};
+use latchwheel_core::start_snapshot::RecordState;
 use latchwheel_events::{emit, set_known_records, Event};
 use latchwheel_http::{empty, full, read_bounded, serve, AnswerTimes, Body, Client, Version};
 use latchwheel_protocol::{v1, Message};
@@ -65,7 +65,7 @@
     upstreams: Vec<String>,
     pub(crate) entries: Mutex<BTreeMap<String, Entry>>,
     lists: Mutex<ListBudget>,
-    choice: Mutex<SourceChoice>,
+    choice: Mutex<SourceSelector>,
     source: watch::Sender<RecordSource>,
     /// Counts changes, so that polls that wait look again.
     changed: watch::Sender<u64>,
@@ -100,7 +100,7 @@
         list_bytes_per_second: f64,
     ) -> Arc<Self> {
         let clock = Clock::start();
-        let choice = SourceChoice::new(upstreams.len(), spread, clock.now());
+        let choice = SourceSelector::new(upstreams.len(), spread, clock.now());
         let cache = Arc::new(Self {
             store,
             contact,
@@ -211,7 +211,7 @@
         let mut changed = self.changed.subscribe();
         let mut regained = self.contact.regains();
         let is_ready = || {
-            let has_news = if asked.until_sound { self.state_for(asked).is_sound() } else { self.has_news(asked) };
+            let has_news = if asked.until_sound { self.state_for(asked).is_reliable() } else { self.has_news(asked) };
             has_news || self.has_kept_news(asked) || self.may_want(asked)
         };
         while !is_ready() {
@@ -342,7 +342,7 @@
 
     fn set_source(&self, upstream: &str, polled: Option<UpstreamState>) {
         let source = lock(&self.choice).source();
-        if let (RecordSource::Store, Some(state)) = (source, polled.filter(UpstreamState::store_is_away)) {
+        if let (RecordSource::Store, Some(state)) = (source, polled.filter(UpstreamState::store_is_unreachable)) {
             self.contact.note_told_away(state.age.max(state.outage));
         }
         let changed = self.source.send_if_modified(|present| std::mem::replace(present, source) != source);
@@ -353,9 +353,9 @@
 
     /// Polls an upstream once, and takes over what it tells if that can be
     /// relied on, or if nothing is known here. `None` if it gave no answer.
-    async fn poll(&self, client: &Client, upstream: &str, wait_for: PollWait) -> Option<UpstreamState> {
-        let wait = if wait_for == PollWait::Nothing { Duration::ZERO } else { POLL_WAIT };
-        let asked = self.request(wait, wait_for == PollWait::Soundness);
+    async fn poll(&self, client: &Client, upstream: &str, wait_for: PollCondition) -> Option<UpstreamState> {
+        let wait = if wait_for == PollCondition::Nothing { Duration::ZERO } else { POLL_WAIT };
+        let asked = self.request(wait, wait_for == PollCondition::Reliable);
         let body = Bytes::from(asked.encode_to_vec());
         let pause = wait + POLL_MARGIN;
         let starts = asked.positions.iter().any(|position| position.revision == 0);
@@ -372,7 +372,7 @@
             defers: answer.deferred,
             behind: self.is_ahead_of(&prefixes),
         };
-        let sound = state.is_sound();
+        let sound = state.is_reliable();
         if sound {
             self.contact.note_told(Duration::from_millis(u64::from(answer.answering_ms)));
         }
@@ -413,7 +413,7 @@
             prefix: prefix.clone(),
             revision: entry.cached.revision(),
             newest_record: entry.cached.newest_record(),
-            kept: matches!(entry.knowledge(), Knowledge::Kept(_)),
+            kept: matches!(entry.knowledge(), RecordState::Stored(_)),
         });
         v1::RecordsRequest {
             positions: positions.collect(),
--- a/crates/records/tests/old_snapshots.rs
+++ b/crates/records/tests/old_snapshots.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use hyper::Method;
-use latchwheel_core::start_snapshot::LONGEST_AGE;
+use latchwheel_core::start_snapshot::MAX_SNAPSHOT_AGE;
 use latchwheel_events::metrics_text;
 use latchwheel_http::Client;
 use latchwheel_protocol::{v1, Message};
@@ -96,7 +96,7 @@
 async fn a_snapshot_is_as_old_as_its_confirmation() {
     let store = MemoryStore::default();
     store.set_fault(Some(RecordsFault::Unavailable));
-    let age = LONGEST_AGE / 2;
+    let age = MAX_SNAPSHOT_AGE / 2;
     let (_disk, folder) = kept_on_disk(PREFIX, age);
     let (worker, worker_age) = node(&store, Vec::new());
     keep(&worker, folder);
@@ -116,14 +116,14 @@
     const MARGIN: Duration = Duration::from_secs(3);
     let store = MemoryStore::default();
     store.set_fault(Some(RecordsFault::Unavailable));
-    let (_disk, folder) = kept_on_disk(PREFIX, LONGEST_AGE - MARGIN);
+    let (_disk, folder) = kept_on_disk(PREFIX, MAX_SNAPSHOT_AGE - MARGIN);
     let (worker, _) = node(&store, Vec::new());
     keep(&worker, folder);
     until(|| worker.knows(PREFIX)).await;
     let (address, _stop) = served(&worker).await;
     let answer = told(&address).await;
     assert_eq!((answer.prefixes.len(), answer.confirmed_prefixes.len()), (1, 1), "it is young enough yet");
-    until(|| worker.origin(PREFIX).is_some_and(|(_, age)| age.is_some_and(|age| age > LONGEST_AGE))).await;
+    until(|| worker.origin(PREFIX).is_some_and(|(_, age)| age.is_some_and(|age| age > MAX_SNAPSHOT_AGE))).await;
     let answer = told(&address).await;
     assert_eq!((answer.prefixes.len(), answer.confirmed_prefixes.len()), (0, 0));
     assert!(answer.held_ms >= WAIT_MS, "the poll rests: {answer:?}");
--- a/crates/store/src/lease_desk.rs
+++ b/crates/store/src/lease_desk.rs
@@ -63,7 +63,7 @@
         view: &StateView,
     ) -> Result<Option<Held>, DiskFault> {
         let node = NodeId(request.node);
-        self.leasing.take_back(now, node, &request.unanswered, state);
+        self.leasing.reclaim(now, node, &request.unanswered, state);
         let mut answer = LeaseAnswer { code: ResultCode::Done.number(), term: self.term, ..LeaseAnswer::default() };
         if request.term != self.term
             && !request.held.is_empty()
@@ -119,7 +119,7 @@
     /// An entry of this term is applied.
     pub(crate) fn note_entry(&mut self, term: u64) {
         if term == self.term {
-            self.leasing.note_settled();
+            self.leasing.note_own_term_applied();
         }
     }
 
