--- a/crates/core/src/admission/queue.rs
+++ b/crates/core/src/admission/queue.rs
@@ -32,7 +32,7 @@
     /// It won't get a slot while its caller stays.
     Refused {
         /// Time after which there is room.
-        come_back: Duration,
+        retry_after: Duration,
         /// How it stood.
         standing: Standing,
     },
@@ -68,7 +68,7 @@
     /// The claim.
     pub claim: Claim,
     /// Time after which there is room.
-    pub come_back: Duration,
+    pub retry_after: Duration,
 }
 
 /// Claims that wait for slots of one service.
@@ -130,8 +130,8 @@
         let too_late = is_too_late(now, &claim, &standing);
         let displaced = if self.len() >= CLAIM_LIMIT { self.displaceable(&claim) } else { None };
         if too_late || (self.len() >= CLAIM_LIMIT && displaced.is_none()) {
-            let come_back = self.drain.promise(now, standing.ahead);
-            return (Entry::Refused { come_back, standing }, None);
+            let retry_after = self.drain.promise(now, standing.ahead);
+            return (Entry::Refused { retry_after, standing }, None);
         }
         let refused = displaced.map(|last| self.refuse(now, last));
         self.insert(now, claim);
@@ -159,7 +159,7 @@
     fn refuse(&mut self, now: Instant, claim: Claim) -> Refused {
         let ahead = self.standing(now, &claim).ahead;
         self.withdraw(claim.id);
-        Refused { claim, come_back: self.drain.promise(now, ahead) }
+        Refused { claim, retry_after: self.drain.promise(now, ahead) }
     }
 
     /// How a claim stands, or would stand if it were added.
--- a/crates/core/src/dispatch/cost.rs
+++ b/crates/core/src/dispatch/cost.rs
@@ -2,7 +2,7 @@
 //!
 //! Speeds are measured from answers; nothing is taken from a description.
 
-use super::pace::PaceTrust;
+use super::pace::SlowdownValidity;
 use crate::identity::stable_pair_hash;
 use std::time::Duration;
 
@@ -70,7 +70,7 @@
     /// Seconds between two pieces of an answer at the usual pace, once measured.
     step_seconds: Option<f64>,
     /// For how long told paces hold; `None` where no server tells its pace.
-    pub(super) pace_trust: Option<PaceTrust>,
+    pub(super) pace_trust: Option<SlowdownValidity>,
 }
 
 impl Default for ServiceCost {
--- a/crates/core/src/dispatch/deferrable.rs
+++ b/crates/core/src/dispatch/deferrable.rs
@@ -72,21 +72,21 @@
 
 /// Deferrable runs at one server, and the room that they take from others.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Crowding {
+pub struct Congestion {
     /// Requests beyond the slots; negative where some are free.
     pub excess: f64,
     /// Deferrable runs of all nodes.
     pub deferrable: u32,
 }
 
-impl Crowding {
+impl Congestion {
     pub(super) fn new(free_slots: f64, deferrable: u32) -> Self {
         Self { excess: -free_slots, deferrable }
     }
 
     /// How many of `own` runs a node breaks off. `draw` is a random number
     /// from 0 to 1: a part of a run is broken off as often as it is large.
-    pub fn to_break(&self, own: u32, draw: f64) -> u32 {
+    pub fn runs_to_preempt(&self, own: u32, draw: f64) -> u32 {
         if self.excess <= 0.0 || self.deferrable == 0 {
             return 0;
         }
@@ -100,11 +100,11 @@
 /// When work gave way at a server last: what it did is heard of by others, and
 /// seen here, only after a while.
 #[derive(Clone, Debug, Default)]
-pub struct Concessions {
+pub struct RecentPreemptions {
     at: std::collections::HashMap<std::sync::Arc<str>, Instant>,
 }
 
-impl Concessions {
+impl RecentPreemptions {
     /// Whether work may give way again at a server.
     pub fn is_due(&self, now: Instant, server: &str) -> bool {
         self.at.get(server).is_none_or(|at| now.since(*at) >= HEARING_TIME)
--- a/crates/core/src/dispatch/hellos.rs
+++ b/crates/core/src/dispatch/hellos.rs
@@ -23,7 +23,7 @@
 }
 
 /// Whether one of `workers` workers tells a node directly that it lives.
-pub fn says_hello(worker: NodeId, workers: usize, node: NodeId) -> bool {
+pub fn sends_heartbeat(worker: NodeId, workers: usize, node: NodeId) -> bool {
     let parts = parts(workers);
     parts == 1 || stable_pair_hash(worker.0, node.0).is_multiple_of(parts)
 }
--- a/crates/core/src/dispatch/keeper.rs
+++ b/crates/core/src/dispatch/keeper.rs
@@ -12,9 +12,9 @@
 //! nothing is agreed upon, nothing leaks, and two keepers of one server do no harm.
 
 use super::ring::ServerRing;
-use super::{Dispatcher, Hearing, Prompt, ServerKey, ServerShare, ServerView};
+use super::{Coverage, Dispatcher, Prompt, ServerKey, ServerShare, ServerView};
 use crate::identity::{stable_hash, stable_pair_hash, NodeId};
-use crate::permits::Home;
+use crate::permits::Coordinator;
 use crate::time::Instant;
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -33,7 +33,7 @@
 
 /// A request that asks a keeper for a server.
 #[derive(Debug)]
-pub struct KeeperAsk<'a> {
+pub struct TrackerQuery<'a> {
     /// Node that asks.
     pub from: NodeId,
     /// Hash of the service's name.
@@ -49,14 +49,14 @@
     /// Share of the slots of all kept servers that must stay free, 0 to 1.
     pub reserve: f64,
     /// Whether deferrable work may have to give way to it.
-    pub may_displace: bool,
+    pub may_preempt: bool,
     /// Any number; spreads requests among equal servers.
     pub spread: u64,
 }
 
 /// A keeper's answer.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Advice {
+pub enum TrackerReply {
     /// Send it to this server.
     Send {
         /// The server.
@@ -66,17 +66,17 @@
         /// Expected wait for a slot.
         wait: Duration,
         /// Node that is to break off a deferrable run there.
-        displaces: Option<NodeId>,
+        preempts: Option<NodeId>,
     },
     /// The least wait at a server is longer than what is worth taking.
     Full(Duration),
     /// This node keeps no server of the service.
-    KeepsNone,
+    TracksNone,
 }
 
 /// The servers of which a node is the keeper, and what it has to tell keepers.
 #[derive(Debug, Default)]
-pub(super) struct Keeping {
+pub(super) struct TrackedServers {
     /// Kept servers by the hash of their service's name.
     kept: HashMap<u64, ServerRing>,
     /// For which keepers and servers that holds.
@@ -105,7 +105,7 @@
     servers_version: u64,
 }
 
-impl Keeping {
+impl TrackedServers {
     pub(super) fn note_change(&mut self, server: ServerKey) {
         self.changed.insert(server);
     }
@@ -119,31 +119,32 @@
     /// Prompt tokens to read anew.
     uncached: u32,
     /// Whether a deferrable run is to give way.
-    displaces: bool,
+    preempts: bool,
 }
 
 /// Which of the nodes that may keep servers do so: those that hear others best, and
 /// deputies only where no other hears as well. None where all hear too few.
-pub fn keepers_among(candidates: &[(Home, Hearing)]) -> Vec<NodeId> {
+pub fn select_trackers(candidates: &[(Coordinator, Coverage)]) -> Vec<NodeId> {
     let best = candidates.iter().map(|(_, hearing)| *hearing).max().unwrap_or_default();
-    if best == Hearing::Few {
+    if best == Coverage::Few {
         return Vec::new();
     }
     let of_best = candidates.iter().filter(|(_, hearing)| *hearing == best);
-    let (deputies, others): (Vec<Home>, Vec<Home>) = of_best.map(|(home, _)| *home).partition(|home| home.deputy);
+    let (deputies, others): (Vec<Coordinator>, Vec<Coordinator>) =
+        of_best.map(|(home, _)| *home).partition(|home| home.fallback);
     let chosen = if others.is_empty() { deputies } else { others };
     chosen.into_iter().map(|home| home.node).collect()
 }
 
 /// The keeper of a server among these nodes.
-pub fn keeper_of(server: ServerKey, keepers: &[NodeId]) -> Option<NodeId> {
+pub fn tracker_of(server: ServerKey, keepers: &[NodeId]) -> Option<NodeId> {
     keepers.iter().copied().max_by_key(|keeper| stable_pair_hash(keeper.0, u64::from(server.0)))
 }
 
 impl Dispatcher {
     /// This node is the keeper of the servers that fall to it among `keepers`. Called
     /// again while nothing changed, it looks at no server.
-    pub fn set_kept(&mut self, own: NodeId, keepers: &[NodeId]) {
+    pub fn set_tracked(&mut self, own: NodeId, keepers: &[NodeId]) {
         let present = KeptFor { own, keepers: keepers.to_vec(), servers_version: self.servers_version };
         if self.keeping.kept_for.as_ref() == Some(&present) {
             return;
@@ -151,7 +152,7 @@
         self.keeping.kept_for = Some(present);
         self.keeping.kept.clear();
         for (id, server) in self.servers.iter().filter(|(_, server)| server.ready) {
-            if keeper_of(server.key, keepers) == Some(own) {
+            if tracker_of(server.key, keepers) == Some(own) {
                 let service = stable_hash(server.service.as_bytes());
                 self.keeping.kept.entry(service).or_default().insert(server.id_hash, id);
             }
@@ -161,7 +162,7 @@
     /// The keepers with the free slots of their servers, as this node believes. Each
     /// call looks at a bounded number of servers, and gives back what the last round over
     /// all of them found: it decides only which keeper is asked first.
-    pub fn room_of_keepers(&mut self, now: Instant, keepers: &[NodeId]) -> Vec<(NodeId, f64)> {
+    pub fn free_slots_of_trackers(&mut self, now: Instant, keepers: &[NodeId]) -> Vec<(NodeId, f64)> {
         let mut round = std::mem::take(&mut self.keeping.room_round);
         if round.keepers != keepers {
             round = RoomRound { keepers: keepers.to_vec(), ..RoomRound::default() };
@@ -174,7 +175,7 @@
         let step = round.left.len().saturating_sub(ROOM_STEP);
         for id in round.left.split_off(step) {
             let Some(server) = self.servers.get(&id) else { continue };
-            let Some(keeper) = keeper_of(server.key, keepers) else { continue };
+            let Some(keeper) = tracker_of(server.key, keepers) else { continue };
             let free = self.view(now, server).free_for_urgent(0.0).max(0.0);
             round.found.iter_mut().filter(|(node, _)| *node == keeper).for_each(|(_, room)| *room += free);
         }
@@ -187,17 +188,17 @@
     }
 
     /// Advises a server to another node, and counts the request there from now on.
-    pub fn advise(&mut self, now: Instant, ask: &KeeperAsk<'_>) -> Advice {
-        let Some(chosen) = self.choose_kept(now, ask) else { return Advice::KeepsNone };
-        let KeptChoice { id, wait, uncached, displaces } = chosen;
+    pub fn reserve_server(&mut self, now: Instant, ask: &TrackerQuery<'_>) -> TrackerReply {
+        let Some(chosen) = self.choose_kept(now, ask) else { return TrackerReply::TracksNone };
+        let KeptChoice { id, wait, uncached, preempts } = chosen;
         if ask.deferrable && !self.has_room(now, ask) {
-            return Advice::Full(DEFERRABLE_PAUSE);
+            return TrackerReply::Full(DEFERRABLE_PAUSE);
         }
-        if wait > ask.wait_limit.as_secs_f64() || (displaces && !ask.may_displace) {
-            let displacing = if displaces { DISPLACE_COST } else { 0.0 };
-            return Advice::Full(Duration::from_secs_f64((wait + displacing).min(3600.0)));
+        if wait > ask.wait_limit.as_secs_f64() || (preempts && !ask.may_preempt) {
+            let displacing = if preempts { DISPLACE_COST } else { 0.0 };
+            return TrackerReply::Full(Duration::from_secs_f64((wait + displacing).min(3600.0)));
         }
-        let Some(server) = self.servers.get_mut(&id) else { return Advice::KeepsNone };
+        let Some(server) = self.servers.get_mut(&id) else { return TrackerReply::TracksNone };
         server.note_prefixes(now, ask.prompt);
         let key = server.key;
         let advised = ServerShare {
@@ -207,17 +208,17 @@
             prompt_tokens: uncached,
             ..ServerShare::default()
         };
-        let displaces = if displaces { self.peers.take_deferrable(now, key) } else { None };
+        let preempts = if preempts { self.peers.take_deferrable(now, key) } else { None };
         self.peers.note_advised(now, ask.from, &advised);
-        Advice::Send { server: key, uncached, wait: Duration::from_secs_f64(wait.min(3600.0)), displaces }
+        TrackerReply::Send { server: key, uncached, wait: Duration::from_secs_f64(wait.min(3600.0)), preempts }
     }
 
     /// Whether deferrable work leaves enough slots free: of all kept servers together,
     /// since an urgent request may go to any of them.
-    fn has_room(&self, now: Instant, ask: &KeeperAsk<'_>) -> bool {
+    fn has_room(&self, now: Instant, ask: &TrackerQuery<'_>) -> bool {
         let kept = self.keeping.kept.get(&ask.service).into_iter();
-        let looked_at = kept.flat_map(|kept| kept.looked_at(None, ask.spread));
-        let servers = looked_at.filter_map(|id| self.servers.get(id)).filter(|server| server.ready);
+        let sampled_servers = kept.flat_map(|kept| kept.sampled_servers(None, ask.spread));
+        let servers = sampled_servers.filter_map(|id| self.servers.get(id)).filter(|server| server.ready);
         let (mut free, mut slots) = (0.0, 0.0);
         for server in servers {
             free += self.view(now, server).exact_free(false).max(0.0);
@@ -227,15 +228,15 @@
     }
 
     /// The kept server with the soonest first token.
-    fn choose_kept(&self, now: Instant, ask: &KeeperAsk<'_>) -> Option<KeptChoice> {
+    fn choose_kept(&self, now: Instant, ask: &TrackerQuery<'_>) -> Option<KeptChoice> {
         let kept = self.keeping.kept.get(&ask.service)?;
         // A server that was removed a moment ago may be among them.
         let first = kept.all().find_map(|id| self.servers.get(id))?;
         let cost = self.services.get(&first.service).copied().unwrap_or_default();
         let key = ask.prompt.affinity_key();
-        let home = key.and_then(|key| self.home_of(&first.service, key));
+        let home = key.and_then(|key| self.affinity_server(&first.service, key));
         let mut best: Option<(f64, f64, KeptChoice)> = None;
-        for id in kept.looked_at(key, ask.spread) {
+        for id in kept.sampled_servers(key, ask.spread) {
             let Some(server) = self.servers.get(id).filter(|server| server.ready) else { continue };
             let avoided = ask.avoid.contains(&server.key) && kept.len() > ask.avoid.len();
             if avoided {
@@ -243,9 +244,9 @@
             }
             let view = self.view(now, server);
             let wait = view.exact_wait(&cost, ask.deferrable);
-            let displaces = !ask.deferrable && view.is_held_by_deferrable();
+            let preempts = !ask.deferrable && view.is_held_by_deferrable();
             let uncached = server.uncached(now, ask.prompt, home.as_ref() == Some(id));
-            let displacing = if displaces { DISPLACE_COST } else { 0.0 };
+            let displacing = if preempts { DISPLACE_COST } else { 0.0 };
             let sharing = view.sharing(&cost, ask.prompt.output_tokens);
             let total = wait + view.penalty() + view.reading(&cost, uncached) + sharing + displacing;
             let order = spread_order(&view, ask.spread);
@@ -253,7 +254,7 @@
                 total < least - super::TIE || (total < least + super::TIE && order < *least_order)
             });
             if better {
-                best = Some((total, order, KeptChoice { id: id.clone(), wait, uncached, displaces }));
+                best = Some((total, order, KeptChoice { id: id.clone(), wait, uncached, preempts }));
             }
         }
         best.map(|(_, _, chosen)| chosen)
@@ -261,7 +262,7 @@
 
     /// What another node tells of servers at which something changed.
     pub fn note_peer_changes(&mut self, now: Instant, from: NodeId, sequence: u64, mut changed: Vec<ServerShare>) {
-        self.take_speed_news(now, &mut changed);
+        self.take_speed_updates(now, &mut changed);
         self.peers.note_changes(now, from, sequence, changed);
     }
 
@@ -275,7 +276,7 @@
             state.and_then(|state| state.share(now)).unwrap_or(nothing)
         });
         let mut shares: Vec<ServerShare> = shares.collect();
-        self.add_speed_news(now, &mut shares);
+        self.add_speed_updates(now, &mut shares);
         shares
     }
 
@@ -285,13 +286,13 @@
     }
 
     /// The keeper of the server where prompts with this prefix are kept.
-    pub fn keeper_of_prompt(&self, service: &str, prompt: &Prompt, keepers: &[NodeId]) -> Option<NodeId> {
-        let home = self.home_of(service, prompt.affinity_key()?)?;
-        keeper_of(self.servers.get(&home)?.key, keepers)
+    pub fn tracker_of_prompt(&self, service: &str, prompt: &Prompt, keepers: &[NodeId]) -> Option<NodeId> {
+        let home = self.affinity_server(service, prompt.affinity_key()?)?;
+        tracker_of(self.servers.get(&home)?.key, keepers)
     }
 
     /// Seconds to read the part of a prompt that other requests share.
-    pub fn shared_reading(&self, service: &str, prompt: &Prompt) -> f64 {
+    pub fn shared_prefill_seconds(&self, service: &str, prompt: &Prompt) -> f64 {
         let cost = self.services.get(service).copied().unwrap_or_default();
         cost.prefill(f64::from(prompt.shared_tokens()))
     }
--- a/crates/core/src/dispatch/mod.rs
+++ b/crates/core/src/dispatch/mod.rs
@@ -22,22 +22,22 @@
 mod speeds;
 
 pub use cost::{Prompt, PromptPart};
-pub use deferrable::{reserve_of, reserve_of_overdue, Concessions, Crowding, StartBudget};
+pub use deferrable::{reserve_of, reserve_of_overdue, Congestion, RecentPreemptions, StartBudget};
 pub use expectation::FirstPiece;
-pub use hellos::says_hello;
+pub use hellos::sends_heartbeat;
 pub use holders::{holders_of, is_holder};
-pub use keeper::{keeper_of, keepers_among, Advice, KeeperAsk};
-pub use pace::{Pace, SpeedNews};
-pub use peers::{Hearing, NodeShares, ServerKey, ServerShare, SharesSum, REPORT_LIFE};
+pub use keeper::{select_trackers, tracker_of, TrackerQuery, TrackerReply};
+pub use pace::{Slowdown, SpeedUpdate};
+pub use peers::{Coverage, NodeShares, ServerKey, ServerShare, SharesSum, REPORT_LIFE};
 pub use queues::{RouteKey, RouteQueue};
 pub use server::{ServerLoad, ServerReport};
 
 use crate::identity::{stable_hash, NodeId};
 use crate::time::Instant;
 use cost::ServiceCost;
-use keeper::Keeping;
+use keeper::TrackedServers;
 use peers::PeerReports;
-use queues::OwnQueues;
+use queues::LocalQueues;
 use ring::ServerRing;
 use server::{ServerState, ServerView};
 use std::collections::HashMap;
@@ -54,7 +54,7 @@
 
 /// A request that wants a server.
 #[derive(Debug)]
-pub struct Ask<'a> {
+pub struct PlacementQuery<'a> {
     /// Service that it goes to.
     pub service: &'a str,
     /// Its prompt.
@@ -100,7 +100,7 @@
     /// Whether it can give way.
     pub deferrable: bool,
     /// Whether deferrable work at the server is to give way to it.
-    pub displaces: bool,
+    pub preempts: bool,
 }
 
 /// How an attempt at a server ended.
@@ -134,26 +134,26 @@
     refused_at: HashMap<Arc<str>, Instant>,
     peers: PeerReports,
     waiting: u32,
-    queues: OwnQueues,
+    queues: LocalQueues,
     /// This node and all that run deferrable work, if it does itself.
     deferring: Option<(NodeId, Vec<NodeId>)>,
     /// Identities of servers by their names among nodes.
     ids: HashMap<ServerKey, Arc<str>>,
-    keeping: Keeping,
-    hearing: Hearing,
+    keeping: TrackedServers,
+    hearing: Coverage,
 }
 
 impl Dispatcher {
     /// Chooses the server with the soonest first token.
-    pub fn choose(&self, now: Instant, ask: &Ask<'_>) -> Choice {
+    pub fn choose(&self, now: Instant, ask: &PlacementQuery<'_>) -> Choice {
         let cost = self.services.get(ask.service).copied().unwrap_or_default();
         let key = ask.prompt.affinity_key();
-        let home = key.and_then(|key| self.home_of(ask.service, key));
+        let home = key.and_then(|key| self.affinity_server(ask.service, key));
         let mut best: Option<(f64, f64, Placement)> = None;
         let mut soonest = f64::INFINITY;
         // Where all others were asked before, one of them is asked again.
         let avoids = !ask.avoid.is_empty() && self.ready_count(ask.service) > ask.avoid.len();
-        for (id, server) in self.looked_at(ask.service, key, ask.spread) {
+        for (id, server) in self.sampled_servers(ask.service, key, ask.spread) {
             if avoids && ask.avoid.contains(id) {
                 continue;
             }
@@ -182,14 +182,14 @@
                     uncached,
                     load: view.load(),
                     deferrable: ask.deferrable,
-                    displaces: !ask.deferrable && view.displaces(),
+                    preempts: !ask.deferrable && view.preempts(),
                 };
                 best = Some((total, order, placement));
             }
         }
         match best {
             Some((_, _, placement)) => Choice::Send(placement),
-            None if soonest.is_finite() => Choice::Full(come_back(soonest - ask.wait_limit.as_secs_f64())),
+            None if soonest.is_finite() => Choice::Full(retry_after(soonest - ask.wait_limit.as_secs_f64())),
             None => Choice::NoServer,
         }
     }
@@ -215,7 +215,7 @@
             load: view.load(),
             deferrable,
             // The keeper has seen to that.
-            displaces: false,
+            preempts: false,
         })
     }
 
@@ -248,7 +248,7 @@
         if let Some(server) = self.servers.get_mut(server) {
             server.note_load(now, load);
         }
-        self.note_told_pace(now, server, load.pace);
+        self.note_reported_slowdown(now, server, load.pace);
     }
 
     /// An attempt ended `time` after it was sent; `started` tells whether its
@@ -335,13 +335,13 @@
     }
 
     /// How well another node hears others; `Few` if it is not heard itself.
-    pub fn hearing_of(&self, now: Instant, node: NodeId) -> Hearing {
-        self.peers.hearing_of(now, node)
+    pub fn coverage_of(&self, now: Instant, node: NodeId) -> Coverage {
+        self.peers.coverage_of(now, node)
     }
 
     /// How well this node hears others: `nodes` of them, with these workers.
-    pub fn note_hearing(&mut self, now: Instant, nodes: usize, workers: &[NodeId]) -> Hearing {
-        self.hearing = self.peers.own_hearing(now, nodes, workers);
+    pub fn update_coverage(&mut self, now: Instant, nodes: usize, workers: &[NodeId]) -> Coverage {
+        self.hearing = self.peers.own_coverage(now, nodes, workers);
         self.hearing
     }
 
@@ -376,15 +376,15 @@
     /// many servers it is reckoned from some, others at each time.
     pub fn room(&self, now: Instant, service: &str, reserve: f64) -> f64 {
         let spread = now.since(Instant::default()).as_micros() as u64;
-        let looked_at = self.looked_at(service, None, spread);
-        let free = looked_at.map(|(_, server)| self.view(now, server).free_slots(reserve).max(0.0).floor());
+        let sampled_servers = self.sampled_servers(service, None, spread);
+        let free = sampled_servers.map(|(_, server)| self.view(now, server).free_slots(reserve).max(0.0).floor());
         let (servers, room) = free.fold((0_usize, 0.0), |(servers, room), free| (servers + 1, room + free));
         room * self.ready_count(service) as f64 / servers.max(1) as f64
     }
 
     /// How crowded a server is by deferrable work; `None` if it is not known.
-    pub fn crowding(&self, now: Instant, server: &str) -> Option<Crowding> {
-        self.servers.get(server).map(|server| self.view(now, server).crowding())
+    pub fn congestion(&self, now: Instant, server: &str) -> Option<Congestion> {
+        self.servers.get(server).map(|server| self.view(now, server).congestion())
     }
 
     /// Share, 0 to 1, of the deferrable runs at a server that are this node's.
@@ -400,7 +400,7 @@
     }
 }
 
-fn come_back(seconds: f64) -> Duration {
+fn retry_after(seconds: f64) -> Duration {
     let time = Duration::from_secs_f64(seconds.clamp(0.0, 3600.0));
     time.clamp(COME_BACK_MINIMUM, COME_BACK_MAXIMUM)
 }
--- a/crates/core/src/dispatch/pace.rs
+++ b/crates/core/src/dispatch/pace.rs
@@ -34,7 +34,7 @@
 
 /// How fast a server works, as it tells it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Pace {
+pub struct Slowdown {
     /// Time that work takes there at present, in percent of the usual.
     pub percent: u32,
     /// How long ago the server told it.
@@ -43,9 +43,9 @@
 
 /// What a node tells the keeper of a server about its speed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct SpeedNews {
+pub struct SpeedUpdate {
     /// The last pace that the server told.
-    pub pace: Option<Pace>,
+    pub pace: Option<Slowdown>,
     /// Time between two pieces of the last answer that ended.
     pub step: Option<Duration>,
 }
@@ -53,7 +53,7 @@
 /// For how long told paces of a service hold: the correlation of two paces of one server
 /// by the time between them. With it the belief is the best linear one.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct PaceTrust {
+pub(super) struct SlowdownValidity {
     classes: [Agreement; AGES.len()],
 }
 
@@ -63,7 +63,7 @@
     squares: f64,
 }
 
-impl PaceTrust {
+impl SlowdownValidity {
     /// Two paces of a server so far apart deviated so much from its mean.
     fn note(&mut self, apart: Duration, former: f64, later: f64) {
         let Some(class) = class_of(apart) else { return };
@@ -103,7 +103,7 @@
 
 impl ServerSpeed {
     /// The server told a pace at that time; an older one than the last changes nothing.
-    pub(super) fn note_pace(&mut self, at: Instant, percent: u32, trust: &mut PaceTrust) {
+    pub(super) fn note_pace(&mut self, at: Instant, percent: u32, trust: &mut SlowdownValidity) {
         let pace = (f64::from(percent) / 100.0).clamp(FASTEST, SLOWEST);
         match self.told {
             Some((former_at, _)) if at <= former_at => return,
@@ -121,19 +121,19 @@
     }
 
     /// Pace in parts of the usual, as believed now.
-    pub(super) fn pace(&self, now: Instant, trust: &PaceTrust) -> f64 {
+    pub(super) fn pace(&self, now: Instant, trust: &SlowdownValidity) -> f64 {
         let Some((at, told)) = self.told else { return 1.0 };
         self.mean + trust.at(now.since(at)) * (told - self.mean)
     }
 
     /// Time that work takes here now, in parts of the usual of the service.
-    pub(super) fn time_factor(&self, now: Instant, trust: &PaceTrust) -> f64 {
+    pub(super) fn time_factor(&self, now: Instant, trust: &SlowdownValidity) -> f64 {
         (self.relative * self.pace(now, trust)).clamp(FASTEST, SLOWEST)
     }
 
     /// The last told pace, for other nodes.
-    pub(super) fn told(&self, now: Instant) -> Option<Pace> {
+    pub(super) fn told(&self, now: Instant) -> Option<Slowdown> {
         let (at, pace) = self.told?;
-        Some(Pace { percent: (pace * 100.0).round() as u32, age: now.since(at) })
+        Some(Slowdown { percent: (pace * 100.0).round() as u32, age: now.since(at) })
     }
 }
--- a/crates/core/src/dispatch/peers.rs
+++ b/crates/core/src/dispatch/peers.rs
@@ -8,7 +8,7 @@
 //! Where there are too many nodes for each to tell all others, some of them,
 //! the aggregators, are told by all and answer with the sum over all nodes.
 
-use super::pace::SpeedNews;
+use super::pace::SpeedUpdate;
 use super::queues::{PeerQueues, RouteKey, RouteQueue};
 use crate::identity::{stable_hash, HashKeyMap, NodeId};
 use crate::time::Instant;
@@ -56,7 +56,7 @@
     /// no more than what is tolerated.
     pub failing: u32,
     /// What the server's keeper is told of its speed; empty in reports and sums.
-    pub speed: SpeedNews,
+    pub speed: SpeedUpdate,
 }
 
 /// What a node tells of itself.
@@ -71,12 +71,12 @@
     /// Unfinished batch work that it keeps, ordered by route.
     pub queues: Vec<RouteQueue>,
     /// How well it hears others, for nodes that may sum up what all tell.
-    pub hearing: Hearing,
+    pub hearing: Coverage,
 }
 
 /// How well a node hears others.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Hearing {
+pub enum Coverage {
     /// Fewer than half of the nodes.
     #[default]
     Few,
@@ -94,13 +94,13 @@
     shares: HashMap<ServerKey, ServerShare>,
     pressed: Vec<u64>,
     waiting: u32,
-    hearing: Hearing,
+    hearing: Coverage,
 }
 
 impl Report {
     /// What is known of a node that told nothing yet.
     fn empty(now: Instant) -> Self {
-        Self { at: now, sequence: 0, shares: HashMap::new(), pressed: Vec::new(), waiting: 0, hearing: Hearing::Few }
+        Self { at: now, sequence: 0, shares: HashMap::new(), pressed: Vec::new(), waiting: 0, hearing: Coverage::Few }
     }
 }
 
@@ -363,23 +363,23 @@
     }
 
     /// How well a node hears others, as it told; `Few` if it is not heard itself.
-    pub(super) fn hearing_of(&self, now: Instant, node: NodeId) -> Hearing {
+    pub(super) fn coverage_of(&self, now: Instant, node: NodeId) -> Coverage {
         let report = self.reports.get(&node.0).filter(|report| now.since(report.at) < KEEPER_SILENCE);
-        report.map_or(Hearing::Few, |report| report.hearing)
+        report.map_or(Coverage::Few, |report| report.hearing)
     }
 
     /// How well this node hears others: `nodes` of them, with these workers.
-    pub(super) fn own_hearing(&self, now: Instant, nodes: usize, workers: &[NodeId]) -> Hearing {
+    pub(super) fn own_coverage(&self, now: Instant, nodes: usize, workers: &[NodeId]) -> Coverage {
         let is_heard = |report: &Report| now.since(report.at) < KEEPER_SILENCE;
         let heard = self.reports.values().filter(|report| is_heard(report)).count();
         let of_workers = workers.iter().filter_map(|worker| self.reports.get(&worker.0));
         let heard_workers = of_workers.filter(|report| is_heard(report)).count();
         if heard * 2 < nodes {
-            Hearing::Few
+            Coverage::Few
         } else if heard_workers * 2 < workers.len() {
-            Hearing::Most
+            Coverage::Most
         } else {
-            Hearing::Enough
+            Coverage::Enough
         }
     }
 
--- a/crates/core/src/dispatch/queues.rs
+++ b/crates/core/src/dispatch/queues.rs
@@ -46,9 +46,9 @@
 /// Queues of this node. One that is empty is told as such for a while and then
 /// forgotten, so that what is told does not grow with the tenants of all times.
 #[derive(Debug, Default)]
-pub(super) struct OwnQueues(BTreeMap<RouteKey, (Instant, u64)>);
+pub(super) struct LocalQueues(BTreeMap<RouteKey, (Instant, u64)>);
 
-impl OwnQueues {
+impl LocalQueues {
     pub(super) fn set(&mut self, now: Instant, route: RouteKey, tokens: u64) {
         self.0.insert(route, (now, tokens));
         self.0.retain(|_, (at, tokens)| *tokens > 0 || now.since(*at) < QUEUE_MEMORY);
@@ -62,9 +62,9 @@
 
 /// Queues of one teller, each with the time at which it was told.
 #[derive(Debug, Default)]
-pub(super) struct ToldQueues(HashMap<RouteKey, (Instant, u64)>);
+pub(super) struct ReportedQueues(HashMap<RouteKey, (Instant, u64)>);
 
-impl ToldQueues {
+impl ReportedQueues {
     /// Takes what was told; routes that were not named keep what they had.
     pub(super) fn note(&mut self, now: Instant, queues: &[RouteQueue]) {
         self.0.retain(|_, (at, _)| now.since(*at) < QUEUE_MEMORY);
@@ -80,9 +80,9 @@
 /// The queues of other nodes.
 #[derive(Debug, Default)]
 pub(super) struct PeerQueues {
-    nodes: HashKeyMap<u64, ToldQueues>,
+    nodes: HashKeyMap<u64, ReportedQueues>,
     /// The sum over the other nodes as an aggregator told it.
-    sum: ToldQueues,
+    sum: ReportedQueues,
 }
 
 impl PeerQueues {
@@ -108,7 +108,7 @@
     /// Tokens that wait on a route at other nodes. Reports of single nodes are
     /// parts of the sum: whichever tells more counts.
     pub(super) fn tokens(&self, now: Instant, route: RouteKey) -> u64 {
-        let of_route = |told: &ToldQueues| {
+        let of_route = |told: &ReportedQueues| {
             let queues = told.fresh(now).filter(|(key, _)| *key == route);
             queues.map(|(_, tokens)| tokens).sum::<u64>()
         };
--- a/crates/core/src/dispatch/ring.rs
+++ b/crates/core/src/dispatch/ring.rs
@@ -52,14 +52,14 @@
 
     /// The server where prompts with this key are kept: the first one by rendezvous
     /// hashing of those that follow the key.
-    pub(super) fn home_of(&self, key: u64) -> Option<&Arc<str>> {
+    pub(super) fn affinity_server(&self, key: u64) -> Option<&Arc<str>> {
         let near = self.window(key, NEAR_KEY);
         near.max_by_key(|(hash, _)| stable_pair_hash(*hash, key)).map(|(_, id)| id)
     }
 
     /// The servers to look at for a request with this prompt key, if it has one;
     /// `spread` differs from request to request. One may come twice.
-    pub(super) fn looked_at(&self, key: Option<u64>, spread: u64) -> impl Iterator<Item = &Arc<str>> {
+    pub(super) fn sampled_servers(&self, key: Option<u64>, spread: u64) -> impl Iterator<Item = &Arc<str>> {
         let few = self.servers.len() <= LOOKED_AT;
         let near = if few || key.is_none() { 0 } else { NEAR_KEY };
         let near_key = self.window(key.unwrap_or(0), near);
--- a/crates/core/src/dispatch/server.rs
+++ b/crates/core/src/dispatch/server.rs
@@ -2,9 +2,9 @@
 
 use super::cost::{Prompt, ServiceCost};
 use super::failure_rate::{cost_of, FailureRate};
-use super::pace::{ServerSpeed, SpeedNews};
+use super::pace::{ServerSpeed, SpeedUpdate};
 use super::peers::{PeerShare, ServerKey, ServerShare};
-use super::{Ask, Crowding, Ending, Placement};
+use super::{Congestion, Ending, Placement, PlacementQuery};
 use crate::directory::ServerRecord;
 use crate::identity::{stable_hash, stable_pair_hash, HashKeyMap};
 use crate::time::Instant;
@@ -114,7 +114,7 @@
     failure_rate: FailureRate,
     pub(super) speed: ServerSpeed,
     /// What its keeper was not told of its speed.
-    pub(super) speed_news: SpeedNews,
+    pub(super) speed_update: SpeedUpdate,
     prefixes: HashKeyMap<u64, Instant>,
     prefix_order: VecDeque<u64>,
 }
@@ -154,18 +154,18 @@
     /// work holds, or takes one of the last free ones. The more of the slots are
     /// held by such work, the longer a request would wait for one to be free by
     /// itself, and the earlier that work gives way.
-    pub(super) fn displaces(&self) -> bool {
+    pub(super) fn preempts(&self) -> bool {
         self.free_slots(0.0) < FREE_CUSHION * f64::from(self.deferrable()) / f64::from(self.state.slots)
     }
 
     /// How crowded the server is by deferrable work.
-    pub(super) fn crowding(&self) -> Crowding {
-        Crowding::new(self.free_slots(0.0), self.deferrable())
+    pub(super) fn congestion(&self) -> Congestion {
+        Congestion::new(self.free_slots(0.0), self.deferrable())
     }
 
     /// Seconds until a request finds a slot free. To an urgent one deferrable
     /// work gives way; the other kind leaves a share of the slots free.
-    pub(super) fn wait(&self, cost: &ServiceCost, ask: &Ask<'_>) -> f64 {
+    pub(super) fn wait(&self, cost: &ServiceCost, ask: &PlacementQuery<'_>) -> f64 {
         let free = if ask.deferrable { self.free_slots(ask.reserve) } else { self.free_for_urgent(ask.reserve) };
         let over = 1.0 - free;
         if over <= 0.0 {
@@ -245,7 +245,7 @@
     }
 
     /// Orders equal servers by chance, the emptier and faster ones more often first.
-    pub(super) fn spread_order(&self, cost: &ServiceCost, ask: &Ask<'_>) -> f64 {
+    pub(super) fn spread_order(&self, cost: &ServiceCost, ask: &PlacementQuery<'_>) -> f64 {
         let free = self.free_slots(0.0).max(LEAST_WEIGHT);
         let weight = if ask.deferrable { free } else { free + self.free_for_urgent(0.0).max(0.0) };
         let hash = stable_pair_hash(u64::from(self.state.key.0), ask.spread);
@@ -317,7 +317,7 @@
             failed_at: Instant::default(),
             failure_rate: FailureRate::default(),
             speed: ServerSpeed::default(),
-            speed_news: SpeedNews::default(),
+            speed_update: SpeedUpdate::default(),
             prefixes: HashKeyMap::default(),
             prefix_order: VecDeque::new(),
         }
@@ -356,7 +356,7 @@
             prompt_tokens: self.own_prefill_tokens,
             suspect,
             failing,
-            speed: SpeedNews::default(),
+            speed: SpeedUpdate::default(),
         })
     }
 
--- a/crates/core/src/dispatch/server_set.rs
+++ b/crates/core/src/dispatch/server_set.rs
@@ -100,18 +100,18 @@
     }
 
     /// The servers of a service that are looked at for a request.
-    pub(super) fn looked_at<'a>(
+    pub(super) fn sampled_servers<'a>(
         &'a self,
         service: &str,
         key: Option<u64>,
         spread: u64,
     ) -> impl Iterator<Item = (&'a Arc<str>, &'a ServerState)> {
-        let ring = self.rings.get(service).into_iter().flat_map(move |ring| ring.looked_at(key, spread));
+        let ring = self.rings.get(service).into_iter().flat_map(move |ring| ring.sampled_servers(key, spread));
         ring.filter_map(|id| Some((id, self.servers.get(id)?)))
     }
 
     /// The server where prompts with this prefix are kept.
-    pub(super) fn home_of(&self, service: &str, key: u64) -> Option<Arc<str>> {
-        self.rings.get(service)?.home_of(key).cloned()
+    pub(super) fn affinity_server(&self, service: &str, key: u64) -> Option<Arc<str>> {
+        self.rings.get(service)?.affinity_server(key).cloned()
     }
 }
--- a/crates/core/src/dispatch/speeds.rs
+++ b/crates/core/src/dispatch/speeds.rs
@@ -1,7 +1,7 @@
 //! What is heard of the speed of servers: by answers of their own to this node, and by
 //! other nodes, which tell the keeper of a server.
 
-use super::pace::SpeedNews;
+use super::pace::SpeedUpdate;
 use super::{Dispatcher, Placement, ServerShare};
 use crate::time::Instant;
 use std::time::Duration;
@@ -11,11 +11,11 @@
 
 impl Dispatcher {
     /// A server told its pace, or didn't.
-    pub(super) fn note_told_pace(&mut self, now: Instant, server: &str, percent: Option<u32>) {
+    pub(super) fn note_reported_slowdown(&mut self, now: Instant, server: &str, percent: Option<u32>) {
         let (Some(percent), Some(server)) = (percent, self.servers.get_mut(server)) else { return };
         let cost = self.services.entry(server.service.clone()).or_default();
         server.speed.note_pace(now, percent, cost.pace_trust.get_or_insert_default());
-        server.speed_news.pace = server.speed.told(now);
+        server.speed_update.pace = server.speed.told(now);
         self.keeping.note_change(server.key);
     }
 
@@ -26,7 +26,7 @@
         }
         let Some(server) = self.servers.get_mut(&placement.server) else { return };
         let step = time / (pieces - 1);
-        server.speed_news.step = Some(step);
+        server.speed_update.step = Some(step);
         let key = server.key;
         self.note_step(now, &placement.server, step);
         self.keeping.note_change(key);
@@ -44,16 +44,16 @@
     }
 
     /// Takes what other nodes tell of the speed of servers out of their shares.
-    pub(super) fn take_speed_news(&mut self, now: Instant, shares: &mut [ServerShare]) {
+    pub(super) fn take_speed_updates(&mut self, now: Instant, shares: &mut [ServerShare]) {
         for share in shares {
             let news = std::mem::take(&mut share.speed);
-            if news != SpeedNews::default() {
+            if news != SpeedUpdate::default() {
                 self.note_speed_news(now, share, news);
             }
         }
     }
 
-    fn note_speed_news(&mut self, now: Instant, share: &ServerShare, news: SpeedNews) {
+    fn note_speed_news(&mut self, now: Instant, share: &ServerShare, news: SpeedUpdate) {
         let Some(id) = self.ids.get(&share.server).cloned() else { return };
         let Some(server) = self.servers.get_mut(&id) else { return };
         if let Some(pace) = news.pace {
@@ -67,13 +67,13 @@
     }
 
     /// Adds to shares for keepers what these were not told of the speed of servers.
-    pub(super) fn add_speed_news(&mut self, now: Instant, shares: &mut [ServerShare]) {
+    pub(super) fn add_speed_updates(&mut self, now: Instant, shares: &mut [ServerShare]) {
         for share in shares {
             let server = self.ids.get(&share.server).and_then(|id| self.servers.get_mut(id));
             let Some(server) = server else { continue };
-            let news = std::mem::take(&mut server.speed_news);
+            let news = std::mem::take(&mut server.speed_update);
             let pace = news.pace.and_then(|_| server.speed.told(now));
-            share.speed = SpeedNews { pace, step: news.step };
+            share.speed = SpeedUpdate { pace, step: news.step };
         }
     }
 }
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -108,7 +108,7 @@
 
 /// The limits as a node that serves requests sees them.
 #[derive(Debug, Default)]
-pub struct LimitHolder {
+pub struct ShareHolder {
     shares: HashMap<String, HeldShare>,
 }
 
@@ -121,7 +121,7 @@
     pub per_second: f64,
 }
 
-impl LimitHolder {
+impl ShareHolder {
     /// Takes one request of the row from the node's share of `row_rate`: its
     /// even part among `nodes`, and what it has leased.
     ///
@@ -213,11 +213,11 @@
 
 /// The limits as the home of rows sees them.
 #[derive(Debug, Default)]
-pub struct LimitHome {
+pub struct ShareIssuer {
     claims: HashMap<String, BTreeMap<NodeId, Claim>>,
 }
 
-impl LimitHome {
+impl ShareIssuer {
     /// Grants a node's share of the part of the row's rate that is leased
     /// out, in proportion to demand. The sum of grants that are still valid
     /// never exceeds that part.
--- a/crates/core/src/ownership.rs
+++ b/crates/core/src/ownership.rs
@@ -76,7 +76,7 @@
 }
 
 /// The node that is home of a name (a row's limit, for instance) among nodes.
-pub fn home_of(name_hash: u64, nodes: impl Iterator<Item = NodeId>) -> Option<NodeId> {
+pub fn rendezvous_first(name_hash: u64, nodes: impl Iterator<Item = NodeId>) -> Option<NodeId> {
     nodes.max_by_key(|node| stable_pair_hash(node.0, name_hash))
 }
 
--- a/crates/core/src/permits/holder.rs
+++ b/crates/core/src/permits/holder.rs
@@ -1,6 +1,6 @@
 //! A node that has requests of tenants: it asks their homes for permits.
 
-use super::{homes_of, Home, PERMIT_LIFE};
+use super::{coordinators_of, Coordinator, PERMIT_LIFE};
 use crate::identity::NodeId;
 use crate::tenants::{RateLimit, Tenant, TenantKey};
 use crate::time::Instant;
@@ -33,7 +33,7 @@
 
 /// A call to a home.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PermitAsk {
+pub struct PermitCall {
     /// Home that is asked.
     pub home: NodeId,
     /// Tenant.
@@ -48,22 +48,22 @@
 
 /// What an answer means for the requests that wait for a tenant's permits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Answered {
+pub struct PermitOutcome {
     /// So many may go on, the first ones.
     pub go: u32,
     /// So many of the next ones are refused.
     pub refused: u32,
     /// Time after which they may come back.
-    pub come_back: Duration,
+    pub retry_after: Duration,
 }
 
 /// What waiting means for the requests of a tenant that had no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Waited {
+pub struct TenantOutcome {
     /// Tenant.
     pub tenant: TenantKey,
     /// The outcome.
-    pub answered: Answered,
+    pub answered: PermitOutcome,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -163,13 +163,13 @@
 
 /// The permits that a node holds and asks for.
 #[derive(Debug, Default)]
-pub struct PermitHolder {
+pub struct PermitClient {
     tenants: BTreeMap<TenantKey, Held>,
     silent_until: BTreeMap<NodeId, Instant>,
     last_number: u64,
 }
 
-impl PermitHolder {
+impl PermitClient {
     /// A request of a tenant came: it takes a permit, or waits for one.
     /// Gives back whether it may go on.
     pub fn take(&mut self, now: Instant, tenant: &Tenant) -> bool {
@@ -201,7 +201,7 @@
     }
 
     /// Calls that are to be made now. `homes` are all homes.
-    pub fn calls(&mut self, now: Instant, homes: &[Home]) -> Vec<PermitAsk> {
+    pub fn calls(&mut self, now: Instant, homes: &[Coordinator]) -> Vec<PermitCall> {
         self.tenants.retain(|_, held| held.waiting > 0 || now.since(held.at) < FORGET_AFTER);
         self.silent_until.retain(|_, until| now < *until);
         let mut asks = Vec::new();
@@ -219,12 +219,12 @@
             if !held.wants(now) {
                 continue;
             }
-            let mut ordered = homes_of(*tenant, homes);
+            let mut ordered = coordinators_of(*tenant, homes);
             ordered.sort_by_key(|home| self.silent_until.contains_key(home));
             let Some(home) = ordered.get(held.hops % ordered.len().max(1)).copied() else { continue };
             let calls = overdue.filter(|call| call.home == home).map_or(0, |call| call.calls);
             self.last_number += 1;
-            let ask = PermitAsk {
+            let ask = PermitCall {
                 home,
                 tenant: *tenant,
                 number: self.last_number,
@@ -253,10 +253,10 @@
         tenant: TenantKey,
         number: u64,
         granted: u32,
-        come_back: Duration,
-    ) -> Answered {
-        let Some(held) = self.tenants.get_mut(&tenant) else { return Answered::default() };
-        let Some(call) = held.call.filter(|call| call.number == number) else { return Answered::default() };
+        retry_after: Duration,
+    ) -> PermitOutcome {
+        let Some(held) = self.tenants.get_mut(&tenant) else { return PermitOutcome::default() };
+        let Some(call) = held.call.filter(|call| call.number == number) else { return PermitOutcome::default() };
         held.call = None;
         held.hops = 0;
         self.silent_until.remove(&call.home);
@@ -269,11 +269,11 @@
         if granted > go {
             held.add_stock(granted - go, until, now);
         }
-        Answered { go, refused, come_back }
+        PermitOutcome { go, refused, retry_after }
     }
 
     /// A home said that another one is to be asked.
-    pub fn note_not_home(&mut self, now: Instant, tenant: TenantKey, number: u64) {
+    pub fn note_not_coordinator(&mut self, now: Instant, tenant: TenantKey, number: u64) {
         let Some(held) = self.tenants.get_mut(&tenant) else { return };
         let Some(call) = held.call.filter(|call| call.number == number) else { return };
         self.silent_until.remove(&call.home);
@@ -287,14 +287,14 @@
     /// Requests that waited for too long: those for which the node's own part is
     /// enough go on, the others are refused in the end. `nodes` is the number of
     /// all nodes that take requests.
-    pub fn overdue(&mut self, now: Instant, nodes: usize) -> Vec<Waited> {
+    pub fn overdue(&mut self, now: Instant, nodes: usize) -> Vec<TenantOutcome> {
         let mut result = Vec::new();
         for (tenant, held) in &mut self.tenants {
             let waited = now.since(held.waits_since);
             if held.waiting == 0 || waited < OWN_PART_AFTER {
                 continue;
             }
-            let mut answered = Answered { come_back: COME_BACK, ..Answered::default() };
+            let mut answered = PermitOutcome { retry_after: COME_BACK, ..PermitOutcome::default() };
             if held.take_own(now, nodes) {
                 answered.go = 1;
             }
@@ -303,7 +303,7 @@
             }
             held.waiting -= answered.go + answered.refused;
             if answered.go + answered.refused > 0 {
-                result.push(Waited { tenant: *tenant, answered });
+                result.push(TenantOutcome { tenant: *tenant, answered });
             }
         }
         result
--- a/crates/core/src/permits/home.rs
+++ b/crates/core/src/permits/home.rs
@@ -28,7 +28,7 @@
     /// Permits, for those that wait first.
     pub granted: u32,
     /// Time after which there is one for the first that got none.
-    pub come_back: Duration,
+    pub retry_after: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -41,7 +41,7 @@
 
 /// The buckets of the tenants whose home this node is.
 #[derive(Debug)]
-pub struct PermitHome {
+pub struct PermitIssuer {
     margin: LimitMargin,
     /// Since when it hears most nodes without a break.
     hears_most_since: Option<Instant>,
@@ -52,7 +52,7 @@
     pruned_at: Instant,
 }
 
-impl PermitHome {
+impl PermitIssuer {
     /// A home that starts `now`.
     pub fn new(now: Instant, margin: LimitMargin) -> Self {
         Self {
@@ -125,7 +125,7 @@
         let wait = (1.0 - bucket.level + bucket.promised).max(0.0) / rate;
         let longest = LONGEST_COME_BACK.as_secs_f64();
         bucket.promised = (bucket.promised + f64::from(urgent - for_urgent)).min(rate * longest);
-        Grant { granted: for_urgent + for_ahead, come_back: Duration::from_secs_f64(wait.min(longest)) }
+        Grant { granted: for_urgent + for_ahead, retry_after: Duration::from_secs_f64(wait.min(longest)) }
     }
 
     /// Forgets buckets that are full again, and nodes that are not heard any more.
--- a/crates/core/src/permits/mod.rs
+++ b/crates/core/src/permits/mod.rs
@@ -9,7 +9,7 @@
 //! Invariants:
 //! - A home grants no more than its bucket holds.
 //! - A home grants only while it hears most nodes, and none of the homes that come
-//!   before it ([`PermitHome::may_grant`]): two homes of one tenant grant at once
+//!   before it ([`PermitIssuer::may_grant`]): two homes of one tenant grant at once
 //!   only where these two can't hear each other and each hears most nodes.
 //! - What may go wrong beyond that (a home that restarts knows nothing, a permit is
 //!   used up to its life later, a node that reaches no home uses a small part of its
@@ -18,8 +18,8 @@
 mod holder;
 mod home;
 
-pub use holder::{Answered, PermitAsk, PermitHolder, Waited};
-pub use home::{Grant, PermitHome};
+pub use holder::{PermitCall, PermitClient, PermitOutcome, TenantOutcome};
+pub use home::{Grant, PermitIssuer};
 
 use crate::identity::{stable_pair_hash, NodeId};
 use crate::tenants::{RateLimit, TenantKey};
@@ -73,16 +73,16 @@
 
 /// A node that may keep limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Home {
+pub struct Coordinator {
     /// The node.
     pub node: NodeId,
     /// Whether it does so only where no other can.
-    pub deputy: bool,
+    pub fallback: bool,
 }
 
 /// The homes of a tenant, the one that grants first.
-pub fn homes_of(tenant: TenantKey, homes: &[Home]) -> Vec<NodeId> {
+pub fn coordinators_of(tenant: TenantKey, homes: &[Coordinator]) -> Vec<NodeId> {
     let mut ordered = homes.to_vec();
-    ordered.sort_unstable_by_key(|home| (home.deputy, stable_pair_hash(home.node.0, tenant.0), home.node));
+    ordered.sort_unstable_by_key(|home| (home.fallback, stable_pair_hash(home.node.0, tenant.0), home.node));
     ordered.into_iter().map(|home| home.node).collect()
 }
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -139,12 +139,12 @@
     let (entry, _) = queue.add(at(2000), Claim { timely_until: at(2180), ..late });
     assert!(matches!(entry, Entry::Queued(_)), "it can be in time and goes before the others: {entry:?}");
     let (entry, _) = queue.add(at(2000), Claim { id: ClaimId { node: NODE, number: 1001 }, ..late });
-    let Entry::Refused { come_back, standing } = entry else { panic!("{entry:?}") };
+    let Entry::Refused { retry_after, standing } = entry else { panic!("{entry:?}") };
     assert_eq!(standing.ahead, 401);
-    assert!((3800..=4300).contains(&(come_back.as_millis() as u64)), "{come_back:?}");
+    assert!((3800..=4300).contains(&(retry_after.as_millis() as u64)), "{retry_after:?}");
     // Whoever is refused next finds room a slot later.
     let (entry, _) = queue.add(at(2000), Claim { id: ClaimId { node: NODE, number: 1002 }, ..late });
-    assert!(matches!(entry, Entry::Refused { come_back: next, .. } if next > come_back), "{entry:?}");
+    assert!(matches!(entry, Entry::Refused { retry_after: next, .. } if next > retry_after), "{entry:?}");
     // One of another tenant is reached.
     let other = Claim { tenant: TenantKey(2), ..late };
     assert!(matches!(queue.add(at(2000), other).0, Entry::Queued(standing) if standing.ahead <= 2));
@@ -327,15 +327,15 @@
         let count = if millisecond == burst_at { BURST } else { u64::from(millisecond % 4 == 0) };
         for number in 0..count {
             let entry = queue.add(now, stays(millisecond * BURST + number, millisecond)).0;
-            if let Entry::Refused { come_back, .. } = entry {
-                told.push((now, come_back));
+            if let Entry::Refused { retry_after, .. } = entry {
+                told.push((now, retry_after));
             }
         }
         granted(&mut queue, now, usize::from(millisecond % 2 == 0));
-        told.extend(queue.expire(now).into_iter().map(|refused| (now, refused.come_back)));
+        told.extend(queue.expire(now).into_iter().map(|refused| (now, refused.retry_after)));
     }
     let of_burst = told.into_iter().filter(|(when, _)| *when >= at(OUTAGE_MS + RETURN_MS / 2));
-    let longest = of_burst.map(|(_, come_back)| come_back).max().expect("some of the burst are refused");
+    let longest = of_burst.map(|(_, retry_after)| retry_after).max().expect("some of the burst are refused");
     assert!(longest <= Duration::from_millis(2 * 2 * BURST), "{longest:?}");
 }
 
--- a/crates/core/tests/admission_schedules.rs
+++ b/crates/core/tests/admission_schedules.rs
@@ -104,8 +104,8 @@
         }
         let (entry, displaced) = self.keepers[keeper].add(now, claim);
         assert!(displaced.is_none());
-        if let Entry::Refused { come_back, .. } = entry {
-            assert!(come_back > Duration::ZERO);
+        if let Entry::Refused { retry_after, .. } = entry {
+            assert!(retry_after > Duration::ZERO);
             self.end(claim.id);
         }
     }
--- a/crates/core/tests/deferrable.rs
+++ b/crates/core/tests/deferrable.rs
@@ -3,7 +3,8 @@
 
 use latchwheel_core::directory::ServerRecord;
 use latchwheel_core::dispatch::{
-    reserve_of, Ask, Choice, Concessions, Crowding, Dispatcher, Ending, NodeShares, Placement, Prompt, StartBudget,
+    reserve_of, Choice, Congestion, Dispatcher, Ending, NodeShares, Placement, PlacementQuery, Prompt,
+    RecentPreemptions, StartBudget,
 };
 use latchwheel_core::identity::NodeId;
 use latchwheel_core::time::Instant;
@@ -51,7 +52,7 @@
 struct Node {
     dispatcher: Dispatcher,
     budget: StartBudget,
-    concessions: Concessions,
+    concessions: RecentPreemptions,
     runs: Vec<Run>,
 }
 
@@ -73,7 +74,7 @@
         let mut dispatcher = Dispatcher::default();
         dispatcher.set_ready(records().iter());
         dispatcher.set_waiting(WAITING);
-        Self { dispatcher, budget: StartBudget::default(), concessions: Concessions::default(), runs: Vec::new() }
+        Self { dispatcher, budget: StartBudget::default(), concessions: RecentPreemptions::default(), runs: Vec::new() }
     }
 
     fn end(&mut self, step: u64, run: &Run, ending: Ending) {
@@ -99,8 +100,8 @@
             if !self.concessions.is_due(now(step), &server) {
                 continue;
             }
-            let crowding = self.dispatcher.crowding(now(step), &server).unwrap();
-            let count = crowding.to_break(own, random.random());
+            let congestion = self.dispatcher.congestion(now(step), &server).unwrap();
+            let count = congestion.runs_to_preempt(own, random.random());
             if count > 0 {
                 self.concessions.note(now(step), server.clone());
             }
@@ -120,7 +121,7 @@
         self.budget.refill(now(step), room, share, 1.0 / NODES as f64);
         let prompt = Prompt::default();
         while self.budget.take() {
-            let ask = Ask {
+            let ask = PlacementQuery {
                 service: "s",
                 prompt: &prompt,
                 avoid: &[],
@@ -152,7 +153,7 @@
     let prompt = Prompt::default();
     for step in 0..STEPS {
         while (front.runs.len() as u32) < urgent_at(step) {
-            let ask = Ask {
+            let ask = PlacementQuery {
                 service: "s",
                 prompt: &prompt,
                 avoid: &[],
@@ -230,13 +231,13 @@
     #[test]
     fn shares_of_the_excess_add_up(owns in prop::collection::vec(0_u32..6, 1..12), free in -10.0_f64..3.0) {
         let deferrable: u32 = owns.iter().sum();
-        let crowding = Crowding { excess: -free, deferrable };
-        let least: u32 = owns.iter().map(|own| crowding.to_break(*own, 1.0)).sum();
-        let most: u32 = owns.iter().map(|own| crowding.to_break(*own, 0.0)).sum();
-        prop_assert!(f64::from(least) <= crowding.excess.max(0.0));
-        prop_assert!(f64::from(most) <= crowding.excess.max(0.0) + owns.len() as f64);
+        let congestion = Congestion { excess: -free, deferrable };
+        let least: u32 = owns.iter().map(|own| congestion.runs_to_preempt(*own, 1.0)).sum();
+        let most: u32 = owns.iter().map(|own| congestion.runs_to_preempt(*own, 0.0)).sum();
+        prop_assert!(f64::from(least) <= congestion.excess.max(0.0));
+        prop_assert!(f64::from(most) <= congestion.excess.max(0.0) + owns.len() as f64);
         for own in owns {
-            prop_assert!(crowding.to_break(own, 0.0) <= own);
+            prop_assert!(congestion.runs_to_preempt(own, 0.0) <= own);
         }
     }
 
--- a/crates/core/tests/dispatch.rs
+++ b/crates/core/tests/dispatch.rs
@@ -2,8 +2,8 @@
 
 use latchwheel_core::directory::ServerRecord;
 use latchwheel_core::dispatch::{
-    holders_of, Ask, Choice, Dispatcher, Ending, NodeShares, Placement, Prompt, PromptPart, ServerKey, ServerLoad,
-    ServerShare, REPORT_LIFE,
+    holders_of, Choice, Dispatcher, Ending, NodeShares, Placement, PlacementQuery, Prompt, PromptPart, ServerKey,
+    ServerLoad, ServerShare, REPORT_LIFE,
 };
 use latchwheel_core::identity::NodeId;
 use latchwheel_core::time::Instant;
@@ -44,8 +44,8 @@
     NodeShares { servers, ..NodeShares::default() }
 }
 
-fn ask<'a>(prompt: &'a Prompt, spread: u64) -> Ask<'a> {
-    Ask {
+fn ask<'a>(prompt: &'a Prompt, spread: u64) -> PlacementQuery<'a> {
+    PlacementQuery {
         service: "s",
         prompt,
         avoid: &[],
@@ -145,7 +145,7 @@
             uncached: 0,
             load: 0.0,
             deferrable: false,
-            displaces: false,
+            preempts: false,
         };
         dispatcher.note_sent(at(0), &placement, &empty);
     }
@@ -153,7 +153,7 @@
         Choice::Full(time) => assert!(time > Duration::ZERO),
         other => panic!("{other:?}"),
     }
-    let none = Ask { service: "unknown", ..ask(&empty, 0) };
+    let none = PlacementQuery { service: "unknown", ..ask(&empty, 0) };
     assert_eq!(dispatcher.choose(at(0), &none), Choice::NoServer);
 }
 
@@ -161,7 +161,7 @@
 fn batch_work_leaves_a_reserve() {
     let mut dispatcher = dispatcher(&["a"]);
     let empty = Prompt::default();
-    let batch = Ask { wait_limit: Duration::ZERO, reserve: 0.5, ..ask(&empty, 0) };
+    let batch = PlacementQuery { wait_limit: Duration::ZERO, reserve: 0.5, ..ask(&empty, 0) };
     for _ in 0..2 {
         let placement = placed(dispatcher.choose(at(0), &batch));
         dispatcher.note_sent(at(0), &placement, &empty);
@@ -211,7 +211,7 @@
         uncached: 0,
         load: 0.0,
         deferrable: false,
-        displaces: false,
+        preempts: false,
     };
     for ending in [Ending::Broken, Ending::Answered, Ending::Broken, Ending::Answered] {
         dispatcher.note_sent(at(0), &placement, &empty);
@@ -251,7 +251,7 @@
         uncached: 0,
         load: 0.0,
         deferrable: false,
-        displaces: false,
+        preempts: false,
     };
     dispatcher.note_sent(at(1), &placement, &empty);
     // The other server is the busier one.
@@ -378,14 +378,14 @@
     let mut full = dispatcher(&["a", "b"]);
     full.note_peer(at(0), NodeId(1), 1, told(vec![share("a", 4, 4), share("b", 4, 0)]));
     let placement = placed(full.choose(at(1), &ask(&empty, 0)));
-    assert_eq!((&*placement.server, placement.displaces), ("a", true));
+    assert_eq!((&*placement.server, placement.preempts), ("a", true));
     assert_eq!(placement.expected_wait, Duration::ZERO);
-    let deferrable = Ask { wait_limit: Duration::ZERO, deferrable: true, ..ask(&empty, 0) };
+    let deferrable = PlacementQuery { wait_limit: Duration::ZERO, deferrable: true, ..ask(&empty, 0) };
     assert!(matches!(full.choose(at(1), &deferrable), Choice::Full(_)), "it doesn't make room for its like");
 
     let mut ample = dispatcher(&["a"]);
     ample.note_peer(at(0), NodeId(1), 1, told(vec![share("a", 1, 1)]));
-    assert!(!placed(ample.choose(at(1), &ask(&empty, 0))).displaces);
+    assert!(!placed(ample.choose(at(1), &ask(&empty, 0))).preempts);
 }
 
 /// Whoever wants room asks the same few nodes that run work there first.
--- a/crates/core/tests/hellos.rs
+++ b/crates/core/tests/hellos.rs
@@ -1,6 +1,6 @@
 //! Which workers a node hears directly, of a few and of many.
 
-use latchwheel_core::dispatch::says_hello;
+use latchwheel_core::dispatch::sends_heartbeat;
 use latchwheel_core::identity::NodeId;
 
 fn ids(kind: &str, count: usize) -> Vec<NodeId> {
@@ -12,7 +12,7 @@
     let nodes = ids("front", 90);
     for count in 1..=24 {
         let workers = ids("worker", count);
-        assert!(workers.iter().all(|worker| nodes.iter().all(|node| says_hello(*worker, count, *node))));
+        assert!(workers.iter().all(|worker| nodes.iter().all(|node| sends_heartbeat(*worker, count, *node))));
     }
 }
 
@@ -23,8 +23,10 @@
 fn what_is_heard_and_sent_does_not_grow_with_the_fleet() {
     for doublings in 0..3 {
         let (workers, nodes) = (ids("worker", 150 << doublings), ids("front", 836 << doublings));
-        let heard = |node: &NodeId| workers.iter().filter(|worker| says_hello(**worker, workers.len(), *node)).count();
-        let sent = |worker: &NodeId| nodes.iter().filter(|node| says_hello(*worker, workers.len(), **node)).count();
+        let heard =
+            |node: &NodeId| workers.iter().filter(|worker| sends_heartbeat(**worker, workers.len(), *node)).count();
+        let sent =
+            |worker: &NodeId| nodes.iter().filter(|node| sends_heartbeat(*worker, workers.len(), **node)).count();
         let (least, most) = (nodes.iter().map(heard).min().unwrap(), nodes.iter().map(heard).max().unwrap());
         assert!(least >= 4 && most <= 50, "{} workers: heard {least} to {most}", workers.len());
         let busiest = workers.iter().map(sent).max().unwrap();
--- a/crates/core/tests/keepers.rs
+++ b/crates/core/tests/keepers.rs
@@ -2,11 +2,11 @@
 
 use latchwheel_core::directory::ServerRecord;
 use latchwheel_core::dispatch::{
-    keepers_among, Advice, Ask, Choice, Dispatcher, Ending, Hearing, KeeperAsk, NodeShares, Placement, Prompt,
-    ServerKey, ServerShare, SharesSum,
+    select_trackers, Choice, Coverage, Dispatcher, Ending, NodeShares, Placement, PlacementQuery, Prompt, ServerKey,
+    ServerShare, SharesSum, TrackerQuery, TrackerReply,
 };
 use latchwheel_core::identity::{stable_hash, NodeId};
-use latchwheel_core::permits::Home;
+use latchwheel_core::permits::Coordinator;
 use latchwheel_core::time::Instant;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -39,12 +39,12 @@
     let records: Vec<ServerRecord> = (0..servers).map(|number| record(number, slots)).collect();
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_ready(records.iter());
-    dispatcher.set_kept(KEEPER, &[KEEPER]);
+    dispatcher.set_tracked(KEEPER, &[KEEPER]);
     dispatcher
 }
 
-fn ask(prompt: &Prompt) -> KeeperAsk<'_> {
-    KeeperAsk {
+fn ask(prompt: &Prompt) -> TrackerQuery<'_> {
+    TrackerQuery {
         from: FRONT,
         service: stable_hash(SERVICE.as_bytes()),
         prompt,
@@ -52,14 +52,14 @@
         wait_limit: Duration::ZERO,
         deferrable: false,
         reserve: 0.0,
-        may_displace: false,
+        may_preempt: false,
         spread: 7,
     }
 }
 
-fn server_of(advice: &Advice) -> ServerKey {
+fn server_of(advice: &TrackerReply) -> ServerKey {
     match advice {
-        Advice::Send { server, .. } => *server,
+        TrackerReply::Send { server, .. } => *server,
         other => panic!("{other:?}"),
     }
 }
@@ -72,12 +72,12 @@
 fn what_is_advised_counts_at_once_and_what_ended_is_free_at_once() {
     let mut keeper = keeper(2, 2);
     let prompt = Prompt::default();
-    let mut advised: Vec<ServerKey> = (0..4).map(|_| server_of(&keeper.advise(at(0), &ask(&prompt)))).collect();
+    let mut advised: Vec<ServerKey> = (0..4).map(|_| server_of(&keeper.reserve_server(at(0), &ask(&prompt)))).collect();
     advised.sort_unstable();
     assert!(advised[0] == advised[1] && advised[2] == advised[3] && advised[1] != advised[2], "{advised:?}");
-    assert!(matches!(keeper.advise(at(1), &ask(&prompt)), Advice::Full(wait) if wait > Duration::ZERO));
+    assert!(matches!(keeper.reserve_server(at(1), &ask(&prompt)), TrackerReply::Full(wait) if wait > Duration::ZERO));
     keeper.note_peer_changes(at(2), FRONT, 5, vec![share(advised[0], 1, 0)]);
-    assert_eq!(server_of(&keeper.advise(at(2), &ask(&prompt))), advised[0]);
+    assert_eq!(server_of(&keeper.reserve_server(at(2), &ask(&prompt))), advised[0]);
 }
 
 /// A removed server is named among those that a keeper keeps until it looks around again.
@@ -86,8 +86,8 @@
     for removed in 0..3 {
         let mut keeper = keeper(3, 2);
         keeper.set_left(&record(removed, 2).id);
-        let advice = keeper.advise(at(0), &ask(&Prompt::default()));
-        assert!(matches!(advice, Advice::Send { .. }), "{removed}: {advice:?}");
+        let advice = keeper.reserve_server(at(0), &ask(&Prompt::default()));
+        assert!(matches!(advice, TrackerReply::Send { .. }), "{removed}: {advice:?}");
     }
 }
 
@@ -95,14 +95,14 @@
 fn what_a_node_tells_replaces_what_it_was_advised() {
     let mut keeper = keeper(1, 1);
     let prompt = Prompt::default();
-    let server = server_of(&keeper.advise(at(0), &ask(&prompt)));
+    let server = server_of(&keeper.reserve_server(at(0), &ask(&prompt)));
     // The request was not sent after all.
     keeper.note_peer(at(5), FRONT, 1, NodeShares::default());
-    assert_eq!(server_of(&keeper.advise(at(6), &ask(&prompt))), server);
+    assert_eq!(server_of(&keeper.reserve_server(at(6), &ask(&prompt))), server);
     // A node that is not heard any more counts for nothing.
-    assert!(matches!(keeper.advise(at(7), &ask(&prompt)), Advice::Full(_)));
+    assert!(matches!(keeper.reserve_server(at(7), &ask(&prompt)), TrackerReply::Full(_)));
     keeper.note_peer(at(3000), WORKER, 1, NodeShares::default());
-    assert_eq!(server_of(&keeper.advise(at(3000), &ask(&prompt))), server);
+    assert_eq!(server_of(&keeper.reserve_server(at(3000), &ask(&prompt))), server);
 }
 
 #[test]
@@ -112,36 +112,37 @@
     let server = ServerKey::of("server-0");
     let told = NodeShares { servers: vec![share(server, 2, 2)], ..NodeShares::default() };
     keeper.note_peer(at(0), WORKER, 1, told);
-    assert!(matches!(keeper.advise(at(1), &ask(&prompt)), Advice::Full(_)));
-    let displacing = KeeperAsk { may_displace: true, ..ask(&prompt) };
-    let advice = keeper.advise(at(1), &displacing);
-    assert!(matches!(advice, Advice::Send { displaces: Some(WORKER), wait: Duration::ZERO, .. }), "{advice:?}");
+    assert!(matches!(keeper.reserve_server(at(1), &ask(&prompt)), TrackerReply::Full(_)));
+    let displacing = TrackerQuery { may_preempt: true, ..ask(&prompt) };
+    let advice = keeper.reserve_server(at(1), &displacing);
+    assert!(matches!(advice, TrackerReply::Send { preempts: Some(WORKER), wait: Duration::ZERO, .. }), "{advice:?}");
     // Each request displaces one run, and no more than there are.
-    let second = keeper.advise(at(1), &displacing);
-    assert!(matches!(second, Advice::Send { displaces: Some(WORKER), .. }), "{second:?}");
-    assert!(matches!(keeper.advise(at(1), &displacing), Advice::Full(_)));
+    let second = keeper.reserve_server(at(1), &displacing);
+    assert!(matches!(second, TrackerReply::Send { preempts: Some(WORKER), .. }), "{second:?}");
+    assert!(matches!(keeper.reserve_server(at(1), &displacing), TrackerReply::Full(_)));
 }
 
 #[test]
 fn deferrable_work_leaves_a_share_of_all_slots_free() {
     let mut keeper = keeper(5, 2);
     let prompt = Prompt::default();
-    let deferrable = KeeperAsk { deferrable: true, reserve: 0.2, ..ask(&prompt) };
-    let placed = (0..10).filter(|_| matches!(keeper.advise(at(0), &deferrable), Advice::Send { .. })).count();
+    let deferrable = TrackerQuery { deferrable: true, reserve: 0.2, ..ask(&prompt) };
+    let placed =
+        (0..10).filter(|_| matches!(keeper.reserve_server(at(0), &deferrable), TrackerReply::Send { .. })).count();
     assert_eq!(placed, 8);
 }
 
 #[test]
 fn nodes_that_hear_best_keep_servers_and_deputies_only_where_no_other_does() {
-    let home = |node, deputy| Home { node: NodeId(node), deputy };
-    let all = |first, second, deputy| {
-        keepers_among(&[(home(1, false), first), (home(2, false), second), (home(3, true), deputy)])
+    let home = |node, fallback| Coordinator { node: NodeId(node), fallback };
+    let all = |first, second, fallback| {
+        select_trackers(&[(home(1, false), first), (home(2, false), second), (home(3, true), fallback)])
     };
-    assert_eq!(all(Hearing::Enough, Hearing::Enough, Hearing::Enough), [NodeId(1), NodeId(2)]);
-    assert_eq!(all(Hearing::Enough, Hearing::Few, Hearing::Enough), [NodeId(1)]);
-    assert_eq!(all(Hearing::Most, Hearing::Most, Hearing::Enough), [NodeId(3)]);
-    assert_eq!(all(Hearing::Most, Hearing::Few, Hearing::Few), [NodeId(1)]);
-    assert!(all(Hearing::Few, Hearing::Few, Hearing::Few).is_empty());
+    assert_eq!(all(Coverage::Enough, Coverage::Enough, Coverage::Enough), [NodeId(1), NodeId(2)]);
+    assert_eq!(all(Coverage::Enough, Coverage::Few, Coverage::Enough), [NodeId(1)]);
+    assert_eq!(all(Coverage::Most, Coverage::Most, Coverage::Enough), [NodeId(3)]);
+    assert_eq!(all(Coverage::Most, Coverage::Few, Coverage::Few), [NodeId(1)]);
+    assert!(all(Coverage::Few, Coverage::Few, Coverage::Few).is_empty());
 }
 
 #[test]
@@ -149,7 +150,7 @@
     let mut front = keeper(1, 2);
     let key = ServerKey::of("server-0");
     let placement = front.place_at(at(0), key, 10, Duration::ZERO, false).unwrap();
-    assert_eq!((&*placement.server, placement.uncached, placement.displaces), ("server-0", 10, false));
+    assert_eq!((&*placement.server, placement.uncached, placement.preempts), ("server-0", 10, false));
     front.note_sent(at(0), &placement, &Prompt::default());
     front.note_end(at(1), &placement, Ending::Broken, false, Duration::from_millis(1));
     assert_eq!(front.place_at(at(2), key, 0, Duration::ZERO, false), None, "it has just failed");
@@ -238,11 +239,11 @@
         let prompt = Prompt::default();
         let placement = if by_keeper {
             let asker = NodeId(100 + front as u64);
-            let ask = KeeperAsk { from: asker, wait_limit: TARGET, spread, ..ask(&prompt) };
-            let server = server_of(&self.keeper.advise(now, &ask));
+            let ask = TrackerQuery { from: asker, wait_limit: TARGET, spread, ..ask(&prompt) };
+            let server = server_of(&self.keeper.reserve_server(now, &ask));
             self.fronts[front].place_at(now, server, 0, Duration::ZERO, false).unwrap()
         } else {
-            let ask = Ask {
+            let ask = PlacementQuery {
                 service: SERVICE,
                 prompt: &prompt,
                 avoid: &[],
--- a/crates/core/tests/limits_and_retries.rs
+++ b/crates/core/tests/limits_and_retries.rs
@@ -1,7 +1,7 @@
 //! Limits across nodes, retry budgets, fences, ownership, routing.
 
 use latchwheel_core::identity::{NodeId, ServerId};
-use latchwheel_core::limits::{Bucket, LimitHolder, LimitHome, SHARE_VALIDITY};
+use latchwheel_core::limits::{Bucket, ShareHolder, ShareIssuer, SHARE_VALIDITY};
 use latchwheel_core::ownership::{assign, OwnedServer, OwnerCandidate};
 use latchwheel_core::placement::{Fence, LoadPacer, OrderLease};
 use latchwheel_core::prefix::{block_hashes, CacheEvent, PrefixIndex};
@@ -33,7 +33,7 @@
 
     #[test]
     fn valid_shares_never_exceed_the_rate(asks in proptest::collection::vec((0u64..8, 0.1f64..500.0, 0u64..3000), 1..100)) {
-        let mut home = LimitHome::default();
+        let mut home = ShareIssuer::default();
         let mut now = at(0);
         let mut granted: BTreeMap<u64, (f64, Instant)> = BTreeMap::new();
         for (node, demand, pause) in asks {
@@ -79,10 +79,10 @@
 
 #[test]
 fn a_holder_without_its_home_falls_back_to_its_even_part() {
-    let mut holder = LimitHolder::default();
+    let mut holder = ShareHolder::default();
     holder.admit(at(0), "row", 100.0, 10).unwrap();
     holder.granted(at(0), at(0), "row", 45.0);
-    let taken = |holder: &mut LimitHolder, from: u64| {
+    let taken = |holder: &mut ShareHolder, from: u64| {
         (0..1000).filter(|step| holder.admit(at(from + step), "row", 100.0, 10).is_ok()).count()
     };
     let with_lease = taken(&mut holder, 1000);
@@ -93,7 +93,7 @@
 
 #[test]
 fn a_node_within_its_even_part_asks_nobody() {
-    let mut holder = LimitHolder::default();
+    let mut holder = ShareHolder::default();
     for second in 0..20 {
         holder.admit(at(second * 1000), "row", 100.0, 10).unwrap();
         assert!(holder.demands(at(second * 1000 + 900)).is_empty());
@@ -102,7 +102,7 @@
 
 #[test]
 fn nothing_is_asked_for_idle_rows() {
-    let mut holder = LimitHolder::default();
+    let mut holder = ShareHolder::default();
     for _ in 0..200 {
         let _ = holder.admit(at(0), "row", 100.0, 1);
     }
--- a/crates/core/tests/many_servers.rs
+++ b/crates/core/tests/many_servers.rs
@@ -4,7 +4,7 @@
 
 use latchwheel_core::directory::ServerRecord;
 use latchwheel_core::dispatch::{
-    holders_of, is_holder, Advice, Dispatcher, KeeperAsk, Prompt, PromptPart, ServerKey, ServerShare,
+    holders_of, is_holder, Dispatcher, Prompt, PromptPart, ServerKey, ServerShare, TrackerQuery, TrackerReply,
 };
 use latchwheel_core::identity::{stable_hash, NodeId};
 use latchwheel_core::time::Instant;
@@ -80,7 +80,7 @@
     let records: Vec<ServerRecord> = (0..servers).map(record).collect();
     let mut keeper = Dispatcher::default();
     keeper.set_ready(records.iter());
-    keeper.set_kept(KEEPER, &[KEEPER]);
+    keeper.set_tracked(KEEPER, &[KEEPER]);
     let mut random = SmallRng::seed_from_u64(servers as u64);
     let mut running: HashMap<ServerKey, u32> = HashMap::new();
     let mut ends: VecDeque<(u64, ServerKey)> = VecDeque::new();
@@ -101,8 +101,8 @@
             let parts = vec![PromptPart { key: shared, tokens: 200 }, PromptPart { key: random.random(), tokens: 50 }];
             let prompt = Prompt { parts, output_tokens: 10 };
             played.asked += 1;
-            match keeper.advise(at(now), &free_slot(&prompt, random.random())) {
-                Advice::Send { server, wait, .. } => {
+            match keeper.reserve_server(at(now), &free_slot(&prompt, random.random())) {
+                TrackerReply::Send { server, wait, .. } => {
                     let running = running.entry(server).or_default();
                     *running += 1;
                     assert!(*running <= SLOTS, "a request was sent to a full server");
@@ -113,8 +113,8 @@
                     played.kept += usize::from(read.insert((server, shared), ()).is_some());
                     ends.push_back((now + 60, server));
                 }
-                Advice::Full(_) => played.refused += 1,
-                Advice::KeepsNone => panic!("it keeps all servers"),
+                TrackerReply::Full(_) => played.refused += 1,
+                TrackerReply::TracksNone => panic!("it keeps all servers"),
             }
         }
     }
@@ -127,8 +127,8 @@
     keeper.note_peer_changes(at(now), FRONT, sequence, vec![share]);
 }
 
-fn free_slot(prompt: &Prompt, spread: u64) -> KeeperAsk<'_> {
-    KeeperAsk {
+fn free_slot(prompt: &Prompt, spread: u64) -> TrackerQuery<'_> {
+    TrackerQuery {
         from: FRONT,
         service: stable_hash(SERVICE.as_bytes()),
         prompt,
@@ -136,7 +136,7 @@
         wait_limit: Duration::ZERO,
         deferrable: false,
         reserve: 0.0,
-        may_displace: false,
+        may_preempt: false,
         spread,
     }
 }
--- a/crates/core/tests/permits.rs
+++ b/crates/core/tests/permits.rs
@@ -2,7 +2,9 @@
 //! messages, cuts, restarts and changed limits, judged in every sliding window.
 
 use latchwheel_core::identity::NodeId;
-use latchwheel_core::permits::{homes_of, Home, LimitMargin, PermitAsk, PermitHolder, PermitHome, Waited};
+use latchwheel_core::permits::{
+    coordinators_of, Coordinator, LimitMargin, PermitCall, PermitClient, PermitIssuer, TenantOutcome,
+};
 use latchwheel_core::tenants::{RateLimit, Tenant, TenantKey};
 use latchwheel_core::time::Instant;
 use rand::rngs::SmallRng;
@@ -34,15 +36,15 @@
 #[derive(Clone, Copy, Debug)]
 enum Message {
     Report,
-    Ask(PermitAsk),
-    Grant { tenant: TenantKey, number: u64, granted: u32, come_back: Duration },
+    PlacementQuery(PermitCall),
+    Grant { tenant: TenantKey, number: u64, granted: u32, retry_after: Duration },
     NotHome { tenant: TenantKey, number: u64 },
 }
 
 struct Node {
     id: NodeId,
-    holder: PermitHolder,
-    home: PermitHome,
+    holder: PermitClient,
+    home: PermitIssuer,
     down_until: Instant,
     cut: bool,
 }
@@ -81,8 +83,8 @@
         let now = Instant::from_micros(60_000_000);
         let node = |number: usize| Node {
             id: NodeId::of_name(&format!("node-{number}")),
-            holder: PermitHolder::default(),
-            home: PermitHome::new(now, MARGIN),
+            holder: PermitClient::default(),
+            home: PermitIssuer::new(now, MARGIN),
             down_until: now,
             cut: false,
         };
@@ -107,8 +109,8 @@
         Self { random, now, nodes, tenants, arrivals, on_the_way, sent: 0, trouble, outcomes, opened: false }
     }
 
-    fn homes(&self) -> Vec<Home> {
-        self.nodes[..HOMES].iter().map(|node| Home { node: node.id, deputy: false }).collect()
+    fn homes(&self) -> Vec<Coordinator> {
+        self.nodes[..HOMES].iter().map(|node| Coordinator { node: node.id, fallback: false }).collect()
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
@@ -177,7 +179,7 @@
         self.tenants.iter().position(|tenant| tenant.key == key).unwrap()
     }
 
-    fn settle(&mut self, waited: Waited) {
+    fn settle(&mut self, waited: TenantOutcome) {
         let number = self.number_of(waited.tenant);
         let go = waited.answered.go as usize;
         self.outcomes[number].ran.extend(std::iter::repeat_n(self.now, go));
@@ -197,15 +199,15 @@
                 let answer = self.grant(node, &ask);
                 self.take(node, answer);
             } else {
-                self.send(node, home, Message::Ask(ask));
+                self.send(node, home, Message::PlacementQuery(ask));
             }
         }
     }
 
-    fn grant(&mut self, node: usize, ask: &PermitAsk) -> Message {
+    fn grant(&mut self, node: usize, ask: &PermitCall) -> Message {
         let (homes, now) = (self.homes(), self.now);
         let limit = self.tenants[self.number_of(ask.tenant)].limit;
-        let ordered = homes_of(ask.tenant, &homes);
+        let ordered = coordinators_of(ask.tenant, &homes);
         let state = &mut self.nodes[node];
         let place = ordered.iter().position(|home| *home == state.id).unwrap();
         let since = match state.home.may_grant(now, &ordered[..place]) {
@@ -215,19 +217,19 @@
         };
         let grant = state.home.grant(now, ask.tenant, &limit, since, ask.urgent, ask.ahead);
         let (tenant, number) = (ask.tenant, ask.number);
-        Message::Grant { tenant, number, granted: grant.granted, come_back: grant.come_back }
+        Message::Grant { tenant, number, granted: grant.granted, retry_after: grant.retry_after }
     }
 
     fn take(&mut self, node: usize, message: Message) {
         match message {
-            Message::Grant { tenant, number, granted, come_back } => {
-                let answered = self.nodes[node].holder.note_grant(self.now, tenant, number, granted, come_back);
-                self.settle(Waited { tenant, answered });
+            Message::Grant { tenant, number, granted, retry_after } => {
+                let answered = self.nodes[node].holder.note_grant(self.now, tenant, number, granted, retry_after);
+                self.settle(TenantOutcome { tenant, answered });
             }
             Message::NotHome { tenant, number } => {
-                self.nodes[node].holder.note_not_home(self.now, tenant, number);
+                self.nodes[node].holder.note_not_coordinator(self.now, tenant, number);
             }
-            Message::Report | Message::Ask(_) => {}
+            Message::Report | Message::PlacementQuery(_) => {}
         }
     }
 
@@ -245,7 +247,7 @@
                     let heard = self.nodes[from].id;
                     self.nodes[to].home.note_heard(self.now, heard);
                 }
-                Message::Ask(ask) => {
+                Message::PlacementQuery(ask) => {
                     let answer = self.grant(to, &ask);
                     self.send(to, from, answer);
                 }
@@ -257,7 +259,7 @@
     fn restart(&mut self, node: usize, down: Duration) {
         let up = self.now + down;
         let state = &mut self.nodes[node];
-        (state.holder, state.home, state.down_until) = (PermitHolder::default(), PermitHome::new(up, MARGIN), up);
+        (state.holder, state.home, state.down_until) = (PermitClient::default(), PermitIssuer::new(up, MARGIN), up);
     }
 
     /// Most requests that ran in a window, as a share of what is allowed.
@@ -354,13 +356,13 @@
 #[test]
 fn what_a_home_keeps_grows_with_the_tenants_that_ask_only() {
     let now = Instant::from_micros(60_000_000);
-    let mut home = PermitHome::new(now, MARGIN);
+    let mut home = PermitIssuer::new(now, MARGIN);
     let limit = RateLimit { per_second: 10.0, burst: 10.0 };
     let mut granted: HashMap<u64, u32> = HashMap::new();
     for number in 0..7_900_u64 {
         let grant = home.grant(now + Duration::from_secs(10), TenantKey(number), &limit, now, 50, 0);
         granted.insert(number, grant.granted);
-        assert!(grant.come_back > Duration::ZERO);
+        assert!(grant.retry_after > Duration::ZERO);
     }
     // Burst, and four tenths of the margin of 26, less the rate in a permit's life.
     assert!(granted.values().all(|granted| *granted == 17));
@@ -369,7 +371,7 @@
 #[test]
 fn a_lowered_limit_holds_at_once() {
     let now = Instant::from_micros(60_000_000);
-    let mut home = PermitHome::new(now, MARGIN);
+    let mut home = PermitIssuer::new(now, MARGIN);
     let (high, low) = (RateLimit { per_second: 100.0, burst: 100.0 }, RateLimit { per_second: 1.0, burst: 1.0 });
     let later = now + Duration::from_secs(10);
     assert_eq!(home.grant(later, TenantKey(1), &high, now, 10, 0).granted, 10);
@@ -382,13 +384,13 @@
 #[test]
 fn come_back_times_spread_the_callers() {
     let now = Instant::from_micros(60_000_000);
-    let mut home = PermitHome::new(now, MARGIN);
+    let mut home = PermitIssuer::new(now, MARGIN);
     let limit = RateLimit { per_second: 10.0, burst: 10.0 };
     let mut times = Vec::new();
     for _ in 0..40 {
         let grant = home.grant(now, TenantKey(1), &limit, now, 1, 0);
         if grant.granted == 0 {
-            times.push(grant.come_back);
+            times.push(grant.retry_after);
         }
     }
     assert!(times.windows(2).all(|pair| pair[0] <= pair[1]), "{times:?}");
--- a/crates/core/tests/second_attempts.rs
+++ b/crates/core/tests/second_attempts.rs
@@ -2,7 +2,8 @@
 
 use latchwheel_core::directory::ServerRecord;
 use latchwheel_core::dispatch::{
-    Ask, Choice, Dispatcher, Ending, FirstPiece, Placement, Prompt, PromptPart, RouteKey, ServerKey, ServerLoad,
+    Choice, Dispatcher, Ending, FirstPiece, Placement, PlacementQuery, Prompt, PromptPart, RouteKey, ServerKey,
+    ServerLoad,
 };
 use latchwheel_core::identity::stable_hash;
 use latchwheel_core::second_attempt::{AttemptTime, SecondAttempts, ANSWERS_FOR_ONE, SAVED_LIMIT};
@@ -330,7 +331,7 @@
     }
 
     fn choose(&mut self, now: u64, avoid: &[Arc<str>], wait_limit: Duration) -> Option<(Placement, Duration)> {
-        let ask = Ask {
+        let ask = PlacementQuery {
             service: SERVICE,
             prompt: &self.prompt,
             avoid,
--- a/crates/core/tests/uneven_servers.rs
+++ b/crates/core/tests/uneven_servers.rs
@@ -2,7 +2,7 @@
 
 use latchwheel_core::directory::ServerRecord;
 use latchwheel_core::dispatch::{
-    Advice, Dispatcher, KeeperAsk, Pace, Prompt, PromptPart, ServerKey, ServerShare, SpeedNews,
+    Dispatcher, Prompt, PromptPart, ServerKey, ServerShare, Slowdown, SpeedUpdate, TrackerQuery, TrackerReply,
 };
 use latchwheel_core::identity::{stable_hash, NodeId};
 use latchwheel_core::time::Instant;
@@ -36,7 +36,7 @@
     let records: Vec<ServerRecord> = (0..SERVERS).map(record).collect();
     let mut keeper = Dispatcher::default();
     keeper.set_ready(records.iter());
-    keeper.set_kept(KEEPER, &[KEEPER]);
+    keeper.set_tracked(KEEPER, &[KEEPER]);
     keeper
 }
 
@@ -101,7 +101,7 @@
                 let percent = (pace(number, millis, seed) * 100.0) as u32;
                 let step = STEP.mul_f64(lasting(number) * pace(number, millis, seed));
                 let age = Duration::from_millis(2);
-                share.speed = SpeedNews { pace: Some(Pace { percent, age }), step: Some(step) };
+                share.speed = SpeedUpdate { pace: Some(Slowdown { percent, age }), step: Some(step) };
             }
             keeper.note_peer_changes(at(millis), FRONT, sequence + 1, vec![share]);
             times.extend(ended.iter().map(|run| (millis - run.0) as f64 / 1000.0));
@@ -109,7 +109,7 @@
         if !random.random_bool(rate / 1000.0) {
             continue;
         }
-        let ask = KeeperAsk {
+        let ask = TrackerQuery {
             from: FRONT,
             service: stable_hash(SERVICE.as_bytes()),
             prompt: &prompt,
@@ -117,10 +117,10 @@
             wait_limit: Duration::from_secs(5),
             deferrable: false,
             reserve: 0.0,
-            may_displace: false,
+            may_preempt: false,
             spread: random.random(),
         };
-        let Advice::Send { server, .. } = keeper.advise(at(millis), &ask) else { panic!("no advice") };
+        let TrackerReply::Send { server, .. } = keeper.reserve_server(at(millis), &ask) else { panic!("no advice") };
         let number = (0..SERVERS).find(|number| key(*number) == server).expect("a server");
         let work = STEP.as_secs_f64() * 1000.0 * f64::from(PIECES);
         running.entry(number).or_default().push((millis, millis, work));
@@ -149,7 +149,7 @@
 fn a_told_pace_is_worth_as_much_as_paces_were_seen_to_last() {
     let mut keeper = keeper();
     let told = |keeper: &mut Dispatcher, number: u64, millis: u64, percent: u32| {
-        let speed = SpeedNews { pace: Some(Pace { percent, age: Duration::ZERO }), step: None };
+        let speed = SpeedUpdate { pace: Some(Slowdown { percent, age: Duration::ZERO }), step: None };
         let share = ServerShare { server: key(0), speed, ..ServerShare::default() };
         keeper.note_peer_changes(at(millis), FRONT, number, vec![share]);
     };
@@ -174,7 +174,7 @@
 fn where_no_pace_is_told_nothing_is_learned() {
     let mut keeper = keeper();
     keeper.note_peer(at(0), FRONT, 1, Default::default());
-    let speed = SpeedNews { pace: None, step: Some(STEP * 5) };
+    let speed = SpeedUpdate { pace: None, step: Some(STEP * 5) };
     let share = ServerShare { server: key(0), speed, ..ServerShare::default() };
     keeper.note_peer_changes(at(1), FRONT, 2, vec![share]);
     assert!(keeper.reports(at(2)).iter().all(|report| report.time_factor.is_none()));
--- a/crates/jobs/src/item_starts.rs
+++ b/crates/jobs/src/item_starts.rs
@@ -7,7 +7,7 @@
 use crate::start_permission::StartPermission;
 use crate::worker_context::WorkerContext;
 use futures::FutureExt;
-use latchwheel_core::dispatch::{Ask, Choice, Placement, Prompt};
+use latchwheel_core::dispatch::{Choice, Placement, PlacementQuery, Prompt};
 use latchwheel_core::item_progress::{GiveUpRules, ItemProgress, RunEnd};
 use latchwheel_core::item_urgency::{start_list, RemainingTime, StartPlan};
 use latchwheel_core::listing_pause::CLOSE_TO_DUE;
@@ -222,7 +222,15 @@
         Some(choice) => choice,
         None if !context.take_start() => return None,
         None => {
-            let ask = Ask { service, prompt, avoid, wait_limit, reserve, spread: rand::random(), deferrable: true };
+            let ask = PlacementQuery {
+                service,
+                prompt,
+                avoid,
+                wait_limit,
+                reserve,
+                spread: rand::random(),
+                deferrable: true,
+            };
             shared.dispatcher().choose(shared.clock.now(), &ask)
         }
     };
--- a/crates/jobs/src/job_run.rs
+++ b/crates/jobs/src/job_run.rs
@@ -13,7 +13,7 @@
 use crate::worker_context::WorkerContext;
 use futures::future::BoxFuture;
 use futures::stream::{FuturesUnordered, StreamExt};
-use latchwheel_core::dispatch::Concessions;
+use latchwheel_core::dispatch::RecentPreemptions;
 use latchwheel_core::item_progress::{GiveUpRules, ItemProgress, ItemState, RunEnd};
 use latchwheel_core::retry::doubled_pause;
 use latchwheel_core::routes::{Route, DEFAULT_MAX_ATTEMPTS};
@@ -162,7 +162,7 @@
     pub(crate) runs: FuturesUnordered<ItemRun>,
     pub(crate) running: HashMap<usize, RunningItem>,
     pub(crate) started: u64,
-    pub(crate) concessions: Concessions,
+    pub(crate) concessions: RecentPreemptions,
     /// Its place among the jobs that have items to start, once it had some.
     pub(crate) rank: Option<StartRank>,
     /// Whether it was logged that its items can't be in time any more.
@@ -214,7 +214,7 @@
             runs: FuturesUnordered::new(),
             running: HashMap::new(),
             started: 0,
-            concessions: Concessions::default(),
+            concessions: RecentPreemptions::default(),
             rank: None,
             overdue_logged: false,
             listing: None,
--- a/crates/jobs/src/making_room.rs
+++ b/crates/jobs/src/making_room.rs
@@ -34,12 +34,12 @@
             by_server.entry(&item.server).or_default().push(item);
         }
         for (server, mut items) in by_server {
-            let crowding = self.context.shared.dispatcher().crowding(now, server);
-            let Some(crowding) = crowding else { continue };
+            let congestion = self.context.shared.dispatcher().congestion(now, server);
+            let Some(congestion) = congestion else { continue };
             if !self.concessions.is_due(now, server) {
                 continue;
             }
-            let count = crowding.to_break(items.len() as u32, rand::random());
+            let count = congestion.runs_to_preempt(items.len() as u32, rand::random());
             if count > 0 {
                 self.concessions.note(now, server.clone());
             }
--- a/crates/jobs/src/nodes.rs
+++ b/crates/jobs/src/nodes.rs
@@ -207,9 +207,9 @@
         tokio::spawn(write_verdicts(store.clone(), shared.clone()));
         tokio::spawn(remove_old_verdicts(store.clone(), shared.clone()));
         // Fronts judge by the workers that they hear whether they are cut off.
-        let says_hello = own.record.role == NodeRole::Worker;
+        let sends_heartbeat = own.record.role == NodeRole::Worker;
         let duties = PeerDuties {
-            says_hello,
+            sends_heartbeat,
             aggregates: own.record.is_upstream,
             sum_bytes_per_second: own.sum_bytes_per_second,
         };
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -6,8 +6,8 @@
 use crate::peers::{PeerCall, PeerClient};
 use latchwheel_clock::Clock;
 use latchwheel_core::identity::{stable_hash, NodeId};
-use latchwheel_core::limits::{LimitHolder, LimitHome, ShareDemand};
-use latchwheel_core::ownership::home_of;
+use latchwheel_core::limits::{ShareDemand, ShareHolder, ShareIssuer};
+use latchwheel_core::ownership::rendezvous_first;
 use latchwheel_core::table::Row;
 use latchwheel_protocol::v1::{LimitDemand, LimitRequest, LimitShare, LimitShares};
 use std::collections::{BTreeMap, BTreeSet};
@@ -20,8 +20,8 @@
 /// The running limits.
 #[derive(Debug)]
 pub(crate) struct Limits {
-    holder: Mutex<LimitHolder>,
-    home: Mutex<LimitHome>,
+    holder: Mutex<ShareHolder>,
+    home: Mutex<ShareIssuer>,
     clock: Clock,
     members: Arc<Members>,
     configuration: Arc<Configuration>,
@@ -110,7 +110,7 @@
         let mut by_home: BTreeMap<NodeId, Vec<LimitDemand>> = BTreeMap::new();
         for demand in demands {
             let nodes = view.live_in_region().map(|record| NodeId(record.node));
-            if let Some(home) = home_of(stable_hash(demand.row.as_bytes()), nodes) {
+            if let Some(home) = rendezvous_first(stable_hash(demand.row.as_bytes()), nodes) {
                 let asked = LimitDemand { row: demand.row, per_second: demand.per_second };
                 by_home.entry(home).or_default().push(asked);
             }
--- a/crates/proxy/src/accept.rs
+++ b/crates/proxy/src/accept.rs
@@ -27,16 +27,16 @@
     id: String,
     route: Option<Arc<Route>>,
     code: ResultCode,
-    come_back: Option<Duration>,
+    retry_after: Option<Duration>,
 }
 
 impl Refusal {
     pub(crate) fn answer<D: Dialect>(&self, shared: &Shared<D>, received: Instant) -> Response<Body> {
         let route = self.route.as_ref().map_or("", |route| &*route.name);
         let leaving = self.code == ResultCode::Leaving;
-        let come_back = self.come_back.unwrap_or(if leaving { OTHER_NODE_COME_BACK } else { COME_BACK });
-        log_refusal(shared, &self.id, route, self.code, received, come_back);
-        error_answer(self.code, Some(come_back))
+        let retry_after = self.retry_after.unwrap_or(if leaving { OTHER_NODE_COME_BACK } else { COME_BACK });
+        log_refusal(shared, &self.id, route, self.code, received, retry_after);
+        error_answer(self.code, Some(retry_after))
     }
 }
 
@@ -54,7 +54,7 @@
     let was_held = head.extensions.get::<HeldAtStart>().is_some();
     let id_header = head.headers.get(&names.request_id).cloned();
     let id = id_header.as_ref().and_then(|value| value.to_str().ok()).unwrap_or_default().to_owned();
-    let refuse = |code, route| Refusal { id: id.clone(), route, code, come_back: None };
+    let refuse = |code, route| Refusal { id: id.clone(), route, code, retry_after: None };
     if let Some(code) = shared.start.refusal(was_held) {
         return Err(refuse(code, None));
     }
@@ -92,13 +92,13 @@
     let outgoing =
         Outgoing { method: head.method, uri: path_only(&head.uri), headers: head.headers, body, id: id_header, prompt };
     if let Some(left) = shared.quarantined_for(&outgoing) {
-        return Err(Refusal { id, route: Some(route), code: ResultCode::Quarantined, come_back: Some(left) });
+        return Err(Refusal { id, route: Some(route), code: ResultCode::Quarantined, retry_after: Some(left) });
     }
     if let Some(tenant) = &tenant {
         let admitted = shared.permits.admit(tenant).await;
-        admitted.map_err(|come_back| {
-            let (id, route, come_back) = (id.clone(), Some(route.clone()), Some(come_back));
-            Refusal { id, route, code: ResultCode::RateLimited, come_back }
+        admitted.map_err(|retry_after| {
+            let (id, route, retry_after) = (id.clone(), Some(route.clone()), Some(retry_after));
+            Refusal { id, route, code: ResultCode::RateLimited, retry_after }
         })?;
     }
     let service = shared.next_service(&route).ok_or_else(|| refuse(ResultCode::NoServer, Some(route.clone())))?;
--- a/crates/proxy/src/answer.rs
+++ b/crates/proxy/src/answer.rs
@@ -13,7 +13,7 @@
 pub(crate) const COME_BACK: Duration = Duration::from_millis(250);
 
 /// An answer with a result code; refusals say when to come back.
-pub fn error_answer(code: ResultCode, come_back: Option<Duration>) -> Response<Body> {
+pub fn error_answer(code: ResultCode, retry_after: Option<Duration>) -> Response<Body> {
     let status = code.http_status();
     let body = serde_json::json!({ "code": code.number(), "name": code.name(), "text": code.text() });
     let mut response = json(status, &body);
@@ -21,7 +21,7 @@
     headers.insert(CODE_HEADER, HeaderValue::from(code.number()));
     headers.insert(RAN_HEADER, HeaderValue::from_static(code.ran().word()));
     if matches!(status, 429 | 503) {
-        headers.insert(RETRY_AFTER, come_back_header(come_back.unwrap_or(COME_BACK)));
+        headers.insert(RETRY_AFTER, come_back_header(retry_after.unwrap_or(COME_BACK)));
     }
     response
 }
--- a/crates/proxy/src/claims.rs
+++ b/crates/proxy/src/claims.rs
@@ -143,7 +143,7 @@
             let waited = self.wait_at(shared, ask, terms, keeper, &mut standing).await;
             let choice = match waited {
                 Waited::Placed(placement) => Choice::Send(placement),
-                Waited::CrowdedOut(come_back) => Choice::Full(come_back),
+                Waited::CrowdedOut(retry_after) => Choice::Full(retry_after),
                 Waited::Lost if shared.clock.now() < terms.waits_until => {
                     lost += 1;
                     continue;
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -150,7 +150,7 @@
         let sent_at = shared.clock.now();
         shared.dispatcher().note_sent(sent_at, &placement, &outgoing.prompt);
         shared.load_changed.notify_one();
-        if placement.displaces {
+        if placement.preempts {
             shared.room_asked.put(ServerKey::of(&placement.server));
         }
         Self {
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -204,14 +204,14 @@
 
     /// Gives the request up with the code, or with one that says that it may
     /// have run.
-    pub(crate) fn refuse(&self, not_run: ResultCode, come_back: Option<Duration>) -> Response<Body> {
+    pub(crate) fn refuse(&self, not_run: ResultCode, retry_after: Option<Duration>) -> Response<Body> {
         if let Some(tenant) = self.tenant.as_ref().filter(|_| self.asked.is_empty()) {
             self.shared.permits.give_back(tenant);
         }
         let code = self.attempts.verdict(not_run);
-        let come_back_time = come_back.unwrap_or(COME_BACK);
+        let come_back_time = retry_after.unwrap_or(COME_BACK);
         log_refusal(&self.shared, &self.id, &self.route.name, code, self.received, come_back_time);
-        error_answer(code, come_back)
+        error_answer(code, retry_after)
     }
 
     pub(crate) fn log_sent(&self, placement: &Placement, left: Duration, attempt: u32) {
@@ -223,7 +223,7 @@
             expected_wait_ms: placement.expected_wait.as_millis() as u64,
             uncached_tokens: placement.uncached,
             load: placement.load,
-            displaces: placement.displaces,
+            displaces: placement.preempts,
             table_version: self.table_version,
             left_ms: left.as_millis() as u64,
         };
@@ -244,7 +244,7 @@
     route: &str,
     code: ResultCode,
     received: Instant,
-    come_back: Duration,
+    retry_after: Duration,
 ) {
     let event = Event::RequestRefused {
         id,
@@ -252,7 +252,7 @@
         code: code.number(),
         status: code.http_status(),
         after_ms: shared.clock.now().since(received).as_millis() as u64,
-        come_back_ms: come_back.as_millis() as u64,
+        come_back_ms: retry_after.as_millis() as u64,
         table_version: shared.table().version,
     };
     emit(id, &event);
--- a/crates/proxy/src/keeper_claims.rs
+++ b/crates/proxy/src/keeper_claims.rs
@@ -7,7 +7,7 @@
 use crate::claims::ClaimStanding;
 use crate::dialect::Dialect;
 use crate::handoff::Handoff;
-use crate::placements::{advise, RoomOrder};
+use crate::placements::{reserve_server, RoomOrder};
 use crate::shared::Shared;
 use latchwheel_core::admission::{Claim, ClaimId, ClaimQueue, Entry, Granted, Refused, Standing};
 use latchwheel_core::dispatch::{RouteKey, REPORT_LIFE};
@@ -113,7 +113,7 @@
             Some(claim) if claim.queue => return self.wait(shared, from, address, request, &claim),
             _ => match self.wait_behind_claims(shared, from, &request) {
                 Some(wait) => (full(request.number, wait), None),
-                None => advise(shared, from, &request),
+                None => reserve_server(shared, from, &request),
             },
         };
         vec![ClaimAnswer { node: from, address, advice, order }]
@@ -162,8 +162,8 @@
         let mut answers: Vec<ClaimAnswer> =
             displaced.into_iter().filter_map(|displaced| service.refuse(now, displaced)).collect();
         match entry {
-            Entry::Refused { come_back, standing } => {
-                let advice = crowded_out(claim.id.number, come_back, &standing);
+            Entry::Refused { retry_after, standing } => {
+                let advice = crowded_out(claim.id.number, retry_after, &standing);
                 answers.push(ClaimAnswer { node: from, address, advice, order: None });
             }
             Entry::Queued(standing) => {
@@ -295,7 +295,7 @@
                 // It would be at the head of a server's queue, before others that can be in time.
                 request.wait_limit_ms = 0;
             }
-            let (advice, order) = advise(shared, claim.id.node, &request);
+            let (advice, order) = reserve_server(shared, claim.id.node, &request);
             *server_wait = Duration::from_millis(u64::from(advice.wait_ms));
             keeps_none |= advice.keeps_none;
             advice.server.map(|_| (advice, order))
@@ -328,7 +328,7 @@
         let id = refused.claim.id;
         let address = self.asked.remove(&id)?.address;
         let standing = self.queue.standing(now, &refused.claim);
-        let advice = crowded_out(id.number, refused.come_back, &standing);
+        let advice = crowded_out(id.number, refused.retry_after, &standing);
         Some(ClaimAnswer { node: id.node, address, advice, order: None })
     }
 }
@@ -361,8 +361,8 @@
     v1::PlacementAdvice { queued: true, ..with_standing(full(number, wait), standing) }
 }
 
-fn crowded_out(number: u64, come_back: Duration, standing: &Standing) -> v1::PlacementAdvice {
-    v1::PlacementAdvice { crowded_out: true, ..with_standing(full(number, come_back), standing) }
+fn crowded_out(number: u64, retry_after: Duration, standing: &Standing) -> v1::PlacementAdvice {
+    v1::PlacementAdvice { crowded_out: true, ..with_standing(full(number, retry_after), standing) }
 }
 
 fn with_standing(advice: v1::PlacementAdvice, standing: &Standing) -> v1::PlacementAdvice {
--- a/crates/proxy/src/own_claims.rs
+++ b/crates/proxy/src/own_claims.rs
@@ -5,7 +5,7 @@
 use crate::dialect::Dialect;
 use crate::shared::Shared;
 use latchwheel_core::admission::{Claim, ClaimId, ClaimQueue, Entry, Refused};
-use latchwheel_core::dispatch::{Ask, Choice, Placement, Prompt};
+use latchwheel_core::dispatch::{Choice, Placement, PlacementQuery, Prompt};
 use latchwheel_core::identity::NodeId;
 use latchwheel_core::time::Instant;
 use std::collections::HashMap;
@@ -93,7 +93,7 @@
         let (id, entry) = self.enter(now, ask.service, waiting, terms);
         let _entered = Entered { claims: self, service: ask.service, id };
         let standing = match entry {
-            Entry::Refused { come_back, standing } => return (Some(Choice::Full(come_back)), (&standing).into()),
+            Entry::Refused { retry_after, standing } => return (Some(Choice::Full(retry_after)), (&standing).into()),
             Entry::Queued(standing) => ClaimStanding::from(&standing),
         };
         let until = now + KEEPERS_AGAIN_AFTER;
@@ -180,7 +180,7 @@
         for refused in refused {
             if let Some(waiting) = self.waiting.remove(&refused.claim.id) {
                 // Whoever is gone needs no answer.
-                let _ = waiting.answer.send(Choice::Full(refused.come_back));
+                let _ = waiting.answer.send(Choice::Full(refused.retry_after));
             }
         }
     }
@@ -188,7 +188,7 @@
 
 impl Waiting {
     fn place<D: Dialect>(&self, shared: &Shared<D>, now: Instant, service: &str) -> Option<Placement> {
-        let ask = Ask {
+        let ask = PlacementQuery {
             service,
             prompt: &self.prompt,
             avoid: &self.avoid,
--- a/crates/proxy/src/peers/duties.rs
+++ b/crates/proxy/src/peers/duties.rs
@@ -9,9 +9,9 @@
 use crate::keeper_claims::{ClaimAnswer, RENEW_EVERY};
 use crate::permits::request_of;
 use crate::placements::{KeeperCall, RoomOrder};
-use latchwheel_core::dispatch::{keeper_of, keepers_among, Hearing};
+use latchwheel_core::dispatch::{select_trackers, tracker_of, Coverage};
 use latchwheel_core::identity::NodeId;
-use latchwheel_core::permits::{Home, PermitAsk};
+use latchwheel_core::permits::{Coordinator, PermitCall};
 use latchwheel_events::{emit, Event};
 use latchwheel_protocol::v1;
 use std::collections::HashMap;
@@ -31,7 +31,7 @@
     }
 
     /// All nodes that may keep tenants' limits.
-    pub(super) fn homes(&self) -> Vec<Home> {
+    pub(super) fn homes(&self) -> Vec<Coordinator> {
         self.candidates.iter().map(|candidate| candidate.home).collect()
     }
 
@@ -64,7 +64,7 @@
 
     /// Looks which nodes may sum up what all tell, and which keep servers now.
     pub(super) fn look_around(&mut self, peers: &Peers) {
-        let duty = match (self.duties.aggregates, self.duties.says_hello) {
+        let duty = match (self.duties.aggregates, self.duties.sends_heartbeat) {
             (true, _) => OwnDuty::Aggregates,
             (false, true) => OwnDuty::Nothing,
             (false, false) => OwnDuty::MayStandIn,
@@ -87,12 +87,12 @@
         self.keepers = keepers;
         let mut dispatcher = self.shared.dispatcher();
         if self.is_candidate() {
-            dispatcher.set_kept(self.own, &self.keepers);
+            dispatcher.set_tracked(self.own, &self.keepers);
         }
         if self.keeps_servers() {
             dispatcher.forget_sum();
         }
-        let rooms = dispatcher.room_of_keepers(self.shared.clock.now(), &self.keepers);
+        let rooms = dispatcher.free_slots_of_trackers(self.shared.clock.now(), &self.keepers);
         drop(dispatcher);
         self.shared.placements.set_keepers(self.own, rooms);
         if self.shared.placements.has_keepers() {
@@ -104,16 +104,16 @@
     fn look_at_keepers(&mut self, peers: &Peers) -> Vec<NodeId> {
         let now = self.shared.clock.now();
         let mut dispatcher = self.shared.dispatcher();
-        let own = dispatcher.note_hearing(now, peers.count(), &peers.workers());
+        let own = dispatcher.update_coverage(now, peers.count(), &peers.workers());
         let hearing = |candidate: &Candidate| match candidate.address {
             None => own,
-            Some(_) => dispatcher.hearing_of(now, candidate.home.node),
+            Some(_) => dispatcher.coverage_of(now, candidate.home.node),
         };
-        let heard: Vec<(Home, Hearing)> =
+        let heard: Vec<(Coordinator, Coverage)> =
             self.candidates.iter().map(|candidate| (candidate.home, hearing(candidate))).collect();
-        let enough = heard.iter().any(|(home, hearing)| !home.deputy && *hearing == Hearing::Enough);
+        let enough = heard.iter().any(|(home, hearing)| !home.fallback && *hearing == Coverage::Enough);
         self.deputies_needed = !enough;
-        keepers_among(&heard)
+        select_trackers(&heard)
     }
 
     /// Keepers by the last sum; all that may be where there was none lately, so that
@@ -133,7 +133,7 @@
         self.send(&message, address);
     }
 
-    pub(super) fn advise(&self, asker: NodeId, request: v1::PlacementRequest, to: SocketAddr, peers: &Peers) {
+    pub(super) fn reserve_server(&self, asker: NodeId, request: v1::PlacementRequest, to: SocketAddr, peers: &Peers) {
         let answers = self.shared.keeper_claims.ask(&self.shared, asker, Some(to), request);
         self.answer_claims(answers, peers);
     }
@@ -214,7 +214,7 @@
         let changed = self.shared.dispatcher().take_changes(self.shared.clock.now());
         let mut by_keeper: HashMap<NodeId, Vec<v1::ServerShare>> = HashMap::new();
         for share in changed {
-            let keeper = keeper_of(share.server, &self.keepers).filter(|keeper| *keeper != self.own);
+            let keeper = tracker_of(share.server, &self.keepers).filter(|keeper| *keeper != self.own);
             if let Some(keeper) = keeper {
                 by_keeper.entry(keeper).or_default().push(message_of(&share));
             }
@@ -239,7 +239,7 @@
 }
 
 /// Calls for permits, put together for each home.
-fn by_home(calls: &[PermitAsk]) -> HashMap<NodeId, Vec<v1::PermitRequest>> {
+fn by_home(calls: &[PermitCall]) -> HashMap<NodeId, Vec<v1::PermitRequest>> {
     let mut homes: HashMap<NodeId, Vec<v1::PermitRequest>> = HashMap::new();
     for call in calls {
         homes.entry(call.home).or_default().push(request_of(call));
--- a/crates/proxy/src/peers/known.rs
+++ b/crates/proxy/src/peers/known.rs
@@ -1,8 +1,8 @@
 //! The other nodes, and which of them may sum up what all tell.
 
-use latchwheel_core::dispatch::{holders_of, says_hello, ServerKey};
+use latchwheel_core::dispatch::{holders_of, sends_heartbeat, ServerKey};
 use latchwheel_core::identity::{stable_hash, NodeId};
-use latchwheel_core::permits::Home;
+use latchwheel_core::permits::Coordinator;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -134,9 +134,9 @@
             OwnDuty::MayStandIn => deputies.push(Candidate::own(own, true)),
             OwnDuty::Nothing => {}
         }
-        deputies.sort_unstable_by_key(|deputy| stable_hash(&deputy.home.node.0.to_le_bytes()));
+        deputies.sort_unstable_by_key(|fallback| stable_hash(&fallback.home.node.0.to_le_bytes()));
         candidates.extend(deputies.into_iter().take(DEPUTIES));
-        candidates.sort_unstable_by_key(|candidate| (candidate.home.deputy, candidate.home.node));
+        candidates.sort_unstable_by_key(|candidate| (candidate.home.fallback, candidate.home.node));
         candidates
     }
 
@@ -152,7 +152,7 @@
         // The worker itself is not among the known ones.
         let workers = known.deferring.len() + 1;
         let others = known.by_name.iter().filter(|(_, peer)| !peer.aggregates);
-        let hearers = others.filter(|(name, _)| says_hello(worker, workers, NodeId::of_name(name)));
+        let hearers = others.filter(|(name, _)| sends_heartbeat(worker, workers, NodeId::of_name(name)));
         hearers.map(|(_, peer)| peer.address).collect()
     }
 
@@ -175,17 +175,17 @@
 /// A node that sums up what all tell, or may have to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct Candidate {
-    pub(super) home: Home,
+    pub(super) home: Coordinator,
     /// `None` for this node itself.
     pub(super) address: Option<SocketAddr>,
 }
 
 impl Candidate {
-    fn other(name: &str, peer: &Peer, deputy: bool) -> Self {
-        Self { home: Home { node: NodeId::of_name(name), deputy }, address: Some(peer.address) }
+    fn other(name: &str, peer: &Peer, fallback: bool) -> Self {
+        Self { home: Coordinator { node: NodeId::of_name(name), fallback }, address: Some(peer.address) }
     }
 
-    fn own(name: &str, deputy: bool) -> Self {
-        Self { home: Home { node: NodeId::of_name(name), deputy }, address: None }
+    fn own(name: &str, fallback: bool) -> Self {
+        Self { home: Coordinator { node: NodeId::of_name(name), fallback }, address: None }
     }
 }
--- a/crates/proxy/src/peers/messages.rs
+++ b/crates/proxy/src/peers/messages.rs
@@ -1,6 +1,6 @@
 //! Reports between nodes as messages.
 
-use latchwheel_core::dispatch::{Hearing, Pace, RouteKey, RouteQueue, ServerKey, ServerShare, SpeedNews};
+use latchwheel_core::dispatch::{Coverage, RouteKey, RouteQueue, ServerKey, ServerShare, Slowdown, SpeedUpdate};
 use latchwheel_protocol::v1;
 use std::time::Duration;
 
@@ -16,11 +16,11 @@
     }
 }
 
-fn speed_of(message: &v1::ServerShare) -> SpeedNews {
+fn speed_of(message: &v1::ServerShare) -> SpeedUpdate {
     let age = Duration::from_millis(message.pace_age_ms.into());
-    let pace = (message.pace_percent > 0).then_some(Pace { percent: message.pace_percent, age });
+    let pace = (message.pace_percent > 0).then_some(Slowdown { percent: message.pace_percent, age });
     let step = Duration::from_micros(message.step_us.into());
-    SpeedNews { pace, step: (!step.is_zero()).then_some(step) }
+    SpeedUpdate { pace, step: (!step.is_zero()).then_some(step) }
 }
 
 pub(super) fn queue_of(message: &v1::RouteQueue) -> RouteQueue {
@@ -50,19 +50,19 @@
 }
 
 /// How well a node hears others, as a number of a message.
-pub(super) fn hearing_number(hearing: Hearing) -> u32 {
+pub(super) fn hearing_number(hearing: Coverage) -> u32 {
     match hearing {
-        Hearing::Few => 0,
-        Hearing::Most => 1,
-        Hearing::Enough => 2,
+        Coverage::Few => 0,
+        Coverage::Most => 1,
+        Coverage::Enough => 2,
     }
 }
 
 /// The same back; of a number that is not known nothing good is believed.
-pub(super) fn hearing_of(number: u32) -> Hearing {
+pub(super) fn coverage_of(number: u32) -> Coverage {
     match number {
-        1 => Hearing::Most,
-        2 => Hearing::Enough,
-        _ => Hearing::Few,
+        1 => Coverage::Most,
+        2 => Coverage::Enough,
+        _ => Coverage::Few,
     }
 }
--- a/crates/proxy/src/peers/mod.rs
+++ b/crates/proxy/src/peers/mod.rs
@@ -24,7 +24,7 @@
 use latchwheel_core::dispatch::{NodeShares, ServerKey, REPORT_LIFE};
 use latchwheel_core::identity::NodeId;
 use latchwheel_protocol::{v1, Message};
-use messages::{hearing_number, hearing_of, message_of, queue_message_of, queue_of, share_of};
+use messages::{coverage_of, hearing_number, message_of, queue_message_of, queue_of, share_of};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerDuties {
     /// Others must be able to hear it, however many there are.
-    pub says_hello: bool,
+    pub sends_heartbeat: bool,
     /// It sums up what all nodes tell.
     pub aggregates: bool,
     /// Most bytes of sums that it sends in a second; beyond it some nodes hear
@@ -262,7 +262,7 @@
         } else if !message.permit_grants.is_empty() {
             self.shared.permits.take_grants(&message.permit_grants);
         } else if let Some(request) = &message.placement_request {
-            self.advise(NodeId(message.from), request.clone(), from, peers);
+            self.reserve_server(NodeId(message.from), request.clone(), from, peers);
         } else if let Some(advice) = &message.placement_advice {
             self.shared.placements.take_advice(*advice);
         } else if !message.queued_claims.is_empty() {
@@ -292,7 +292,7 @@
             pressed: report.pressed.clone(),
             waiting: report.waiting,
             queues: report.queues.iter().map(queue_of).collect(),
-            hearing: hearing_of(report.hearing),
+            hearing: coverage_of(report.hearing),
         };
         if report.sum_parts > 0 {
             self.take_sum(report, shares);
@@ -350,9 +350,9 @@
     /// Candidates that are told of this node's requests. Deputies come first where
     /// they are needed: one that hears enough is found sooner.
     fn told_candidates(&self) -> Vec<SocketAddr> {
-        let told = self.candidates.iter().filter(|candidate| !candidate.home.deputy || self.deputies_needed);
+        let told = self.candidates.iter().filter(|candidate| !candidate.home.fallback || self.deputies_needed);
         let mut told: Vec<&Candidate> = told.collect();
-        told.sort_by_key(|candidate| self.deputies_needed && !candidate.home.deputy);
+        told.sort_by_key(|candidate| self.deputies_needed && !candidate.home.fallback);
         told.into_iter().filter_map(|candidate| candidate.address).collect()
     }
 
@@ -381,7 +381,7 @@
     }
 
     fn say_hello(&mut self, peers: &Peers) -> usize {
-        if !self.duties.says_hello || self.hello_at.elapsed() < HELLO_EVERY {
+        if !self.duties.sends_heartbeat || self.hello_at.elapsed() < HELLO_EVERY {
             return 0;
         }
         self.hello_at = Instant::now();
--- a/crates/proxy/src/permits.rs
+++ b/crates/proxy/src/permits.rs
@@ -4,7 +4,9 @@
 
 use latchwheel_clock::Clock;
 use latchwheel_core::identity::NodeId;
-use latchwheel_core::permits::{homes_of, Answered, Home, LimitMargin, PermitAsk, PermitHolder, PermitHome};
+use latchwheel_core::permits::{
+    coordinators_of, Coordinator, LimitMargin, PermitCall, PermitClient, PermitIssuer, PermitOutcome,
+};
 use latchwheel_core::tenants::{Tenant, TenantKey, Tenants};
 use latchwheel_core::time::Instant;
 use latchwheel_protocol::v1;
@@ -26,8 +28,8 @@
 
 #[derive(Debug)]
 struct State {
-    holder: PermitHolder,
-    home: PermitHome,
+    holder: PermitClient,
+    home: PermitIssuer,
     ticked_at: Instant,
     waiters: HashMap<TenantKey, VecDeque<oneshot::Sender<Outcome>>>,
 }
@@ -45,8 +47,8 @@
     /// No permits yet; limits may be exceeded by this margin.
     pub fn new(clock: Clock, margin: LimitMargin) -> Self {
         let now = clock.now();
-        let home = PermitHome::new(now, margin);
-        let state = State { holder: PermitHolder::default(), home, ticked_at: now, waiters: HashMap::new() };
+        let home = PermitIssuer::new(now, margin);
+        let state = State { holder: PermitClient::default(), home, ticked_at: now, waiters: HashMap::new() };
         Self { clock, state: Mutex::new(state), wanted: Notify::new() }
     }
 
@@ -101,7 +103,7 @@
 
     /// Calls that are to be made now; those to this node itself are answered at
     /// once. `nodes` is the number of all other nodes.
-    pub(crate) fn calls(&self, own: NodeId, homes: &[Home], nodes: usize, tenants: &Tenants) -> Vec<PermitAsk> {
+    pub(crate) fn calls(&self, own: NodeId, homes: &[Coordinator], nodes: usize, tenants: &Tenants) -> Vec<PermitCall> {
         let now = self.clock.now();
         let mut state = self.lock();
         for waited in state.holder.overdue(now, nodes + 1) {
@@ -120,7 +122,7 @@
     pub(crate) fn answer(
         &self,
         own: NodeId,
-        homes: &[Home],
+        homes: &[Coordinator],
         tenants: &Tenants,
         requests: &[v1::PermitRequest],
     ) -> Vec<v1::PermitGrant> {
@@ -161,12 +163,12 @@
         &mut self,
         now: Instant,
         own: NodeId,
-        homes: &[Home],
+        homes: &[Coordinator],
         tenants: &Tenants,
         request: &v1::PermitRequest,
     ) -> v1::PermitGrant {
         let key = TenantKey(request.tenant);
-        let ordered = homes_of(key, homes);
+        let ordered = coordinators_of(key, homes);
         let place = ordered.iter().position(|home| *home == own);
         let since = place.and_then(|place| self.home.may_grant(now, &ordered[..place]));
         let (Some(since), Some(tenant)) = (since, tenants.get(key)) else {
@@ -178,7 +180,7 @@
             tenant: request.tenant,
             number: request.number,
             granted: grant.granted,
-            come_back_ms: grant.come_back.as_millis() as u32,
+            come_back_ms: grant.retry_after.as_millis() as u32,
             not_home: false,
         }
     }
@@ -186,16 +188,16 @@
     fn take_grant(&mut self, now: Instant, grant: &v1::PermitGrant) {
         let tenant = TenantKey(grant.tenant);
         if grant.not_home {
-            self.holder.note_not_home(now, tenant, grant.number);
+            self.holder.note_not_coordinator(now, tenant, grant.number);
             return;
         }
-        let come_back = Duration::from_millis(u64::from(grant.come_back_ms));
-        let answered = self.holder.note_grant(now, tenant, grant.number, grant.granted, come_back);
+        let retry_after = Duration::from_millis(u64::from(grant.come_back_ms));
+        let answered = self.holder.note_grant(now, tenant, grant.number, grant.granted, retry_after);
         self.settle(now, tenant, answered);
     }
 
     /// Tells the requests that waited longest.
-    fn settle(&mut self, now: Instant, tenant: TenantKey, answered: Answered) {
+    fn settle(&mut self, now: Instant, tenant: TenantKey, answered: PermitOutcome) {
         let Some(waiters) = self.waiters.get_mut(&tenant) else { return };
         for _ in 0..answered.go {
             let gone = waiters.pop_front().is_none_or(|waiter| waiter.send(Ok(())).is_err());
@@ -205,7 +207,7 @@
         }
         for _ in 0..answered.refused {
             // Whoever is gone needs no answer.
-            let _ = waiters.pop_front().map(|waiter| waiter.send(Err(answered.come_back)));
+            let _ = waiters.pop_front().map(|waiter| waiter.send(Err(answered.retry_after)));
         }
         if waiters.is_empty() {
             self.waiters.remove(&tenant);
@@ -214,6 +216,6 @@
 }
 
 /// A call as it goes to a home.
-pub(crate) fn request_of(ask: &PermitAsk) -> v1::PermitRequest {
+pub(crate) fn request_of(ask: &PermitCall) -> v1::PermitRequest {
     v1::PermitRequest { tenant: ask.tenant.0, number: ask.number, urgent: ask.urgent, ahead: ask.ahead }
 }
--- a/crates/proxy/src/place.rs
+++ b/crates/proxy/src/place.rs
@@ -5,7 +5,7 @@
 use crate::placements::PlaceAsk;
 use hyper::Response;
 use latchwheel_core::code::ResultCode;
-use latchwheel_core::dispatch::{Ask, Choice, Placement};
+use latchwheel_core::dispatch::{Choice, Placement, PlacementQuery};
 use latchwheel_core::holding::{max_hold, timely_wait};
 use latchwheel_core::start_pacing::PacedRequest;
 use latchwheel_events::{emit, Event};
@@ -30,10 +30,10 @@
             }
             let placement = match self.place().await {
                 Choice::Send(placement) => placement,
-                Choice::Full(come_back) => {
+                Choice::Full(retry_after) => {
                     self.shared.dispatcher().note_refused(self.shared.clock.now(), &self.service);
                     let code = if self.takes_turns() { ResultCode::CrowdedOut } else { ResultCode::WaitTooLong };
-                    return Err(self.refuse(code, Some(come_back)));
+                    return Err(self.refuse(code, Some(retry_after)));
                 }
                 Choice::NoServer => return Err(self.refuse(ResultCode::NoServer, None)),
             };
@@ -159,7 +159,7 @@
     /// The place that looks best from here at a server that is none of these, if another
     /// is ready.
     pub(crate) fn choose_among(&self, avoid: &[Arc<str>], wait_limit: Duration) -> Choice {
-        let ask = Ask {
+        let ask = PlacementQuery {
             service: &self.service,
             prompt: &self.outgoing.prompt,
             avoid,
--- a/crates/proxy/src/placements.rs
+++ b/crates/proxy/src/placements.rs
@@ -1,6 +1,6 @@
 //! Asking the keepers of servers for a place.
 //!
-//! [`latchwheel_core::dispatch::keeper_of`] names the keepers; a keeper that gives
+//! [`latchwheel_core::dispatch::tracker_of`] names the keepers; a keeper that gives
 //! no answer is not asked for a while, and the node chooses by itself then.
 
 use crate::claims::Withdrawal;
@@ -8,7 +8,7 @@
 use crate::handoff::Handoff;
 use crate::keeper_claims::ClaimAnswer;
 use crate::shared::Shared;
-use latchwheel_core::dispatch::{Advice, Choice, KeeperAsk, Placement, Prompt, PromptPart, ServerKey};
+use latchwheel_core::dispatch::{Choice, Placement, Prompt, PromptPart, ServerKey, TrackerQuery, TrackerReply};
 use latchwheel_core::identity::{stable_hash, NodeId};
 use latchwheel_protocol::v1;
 use std::collections::HashMap;
@@ -206,8 +206,8 @@
         keepers.sort_unstable_by(|first, second| first.0.total_cmp(&second.0));
         let mut order: Vec<NodeId> = keepers.into_iter().map(|(_, keeper)| keeper).collect();
         let dispatcher = shared.dispatcher();
-        if dispatcher.shared_reading(ask.service, ask.prompt) > LONG_READING {
-            let first = dispatcher.keeper_of_prompt(ask.service, ask.prompt, &order);
+        if dispatcher.shared_prefill_seconds(ask.service, ask.prompt) > LONG_READING {
+            let first = dispatcher.tracker_of_prompt(ask.service, ask.prompt, &order);
             order.sort_by_key(|keeper| Some(*keeper) != first);
         }
         order
@@ -355,7 +355,7 @@
 
 /// Advises a server as its keeper; gives back the answer, and the run that is to
 /// give way.
-pub(crate) fn advise<D: Dialect>(
+pub(crate) fn reserve_server<D: Dialect>(
     shared: &Shared<D>,
     from: NodeId,
     request: &v1::PlacementRequest,
@@ -363,30 +363,32 @@
     let parts = request.parts.iter().map(|part| PromptPart { key: part.key, tokens: part.tokens });
     let prompt = Prompt { parts: parts.collect(), output_tokens: 0 };
     let avoid: Vec<ServerKey> = request.avoid.iter().map(|server| ServerKey(*server)).collect();
-    let ask = KeeperAsk {
+    let ask = TrackerQuery {
         from,
         service: request.service,
         prompt: &prompt,
         avoid: &avoid,
         wait_limit: Duration::from_millis(u64::from(request.wait_limit_ms)),
         deferrable: request.deferrable,
-        may_displace: request.may_displace,
+        may_preempt: request.may_displace,
         reserve: f64::from(request.reserve_percent) / 100.0,
         spread: rand::random(),
     };
     let number = request.number;
-    match shared.dispatcher().advise(shared.clock.now(), &ask) {
-        Advice::Send { server, uncached, wait, displaces } => {
-            let order = displaces.map(|worker| RoomOrder { worker, server });
+    match shared.dispatcher().reserve_server(shared.clock.now(), &ask) {
+        TrackerReply::Send { server, uncached, wait, preempts } => {
+            let order = preempts.map(|worker| RoomOrder { worker, server });
             let server = Some(v1::AdvisedServer { server: server.0, uncached });
             let wait_ms = wait.as_millis() as u32;
             (v1::PlacementAdvice { number, server, wait_ms, ..v1::PlacementAdvice::default() }, order)
         }
         // A wait is told as at least a millisecond, so that it does not look free.
-        Advice::Full(wait) => {
+        TrackerReply::Full(wait) => {
             let wait_ms = (wait.as_millis() as u32).max(1);
             (v1::PlacementAdvice { number, wait_ms, ..v1::PlacementAdvice::default() }, None)
         }
-        Advice::KeepsNone => (v1::PlacementAdvice { number, keeps_none: true, ..v1::PlacementAdvice::default() }, None),
+        TrackerReply::TracksNone => {
+            (v1::PlacementAdvice { number, keeps_none: true, ..v1::PlacementAdvice::default() }, None)
+        }
     }
 }
--- a/crates/proxy/src/second_attempt.rs
+++ b/crates/proxy/src/second_attempt.rs
@@ -315,7 +315,7 @@
         let terms = Terms { claim, ..Terms::FREE_ONLY };
         let choice = self.shared.placements.ask_on_terms(&self.shared, &ask, terms).await;
         match choice.unwrap_or_else(|| self.choose_among(&avoid, Duration::ZERO)) {
-            Choice::Send(placement) if !placement.displaces && !avoid.contains(&placement.server) => Some(placement),
+            Choice::Send(placement) if !placement.preempts && !avoid.contains(&placement.server) => Some(placement),
             Choice::Send(_) | Choice::Full(_) | Choice::NoServer => None,
         }
     }
--- a/crates/proxy/src/turn.rs
+++ b/crates/proxy/src/turn.rs
@@ -85,7 +85,7 @@
         let Some(standing) = outcome.standing else { return };
         let logged = LoggedClaim { terms, tenant, standing, waited, late, lost: outcome.lost };
         match outcome.choice {
-            Choice::Full(come_back) => emit(&self.id, &self.claim_refused(&logged, come_back)),
+            Choice::Full(retry_after) => emit(&self.id, &self.claim_refused(&logged, retry_after)),
             Choice::Send(_) | Choice::NoServer => emit(&self.id, &self.claim_granted(&logged)),
         }
     }
@@ -108,7 +108,7 @@
         }
     }
 
-    fn claim_refused<'a>(&'a self, claim: &LoggedClaim<'a>, come_back: Duration) -> Event<'a> {
+    fn claim_refused<'a>(&'a self, claim: &LoggedClaim<'a>, retry_after: Duration) -> Event<'a> {
         let ClaimStanding { ahead, waiting, tenant_waiting, tenants } = claim.standing;
         Event::ClaimRefused {
             id: &self.id,
@@ -122,7 +122,7 @@
             tenant_waiting,
             tenants,
             lost: claim.lost,
-            come_back_ms: come_back.as_millis() as u64,
+            come_back_ms: retry_after.as_millis() as u64,
         }
     }
 }
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -1,6 +1,6 @@
 //! Nodes that tell each other of their requests by datagrams.
 
-use latchwheel_core::dispatch::{Ask, Choice, Placement, Prompt, ServerKey};
+use latchwheel_core::dispatch::{Choice, Placement, PlacementQuery, Prompt, ServerKey};
 use latchwheel_core::room::{MachineCapacity, PeerHeadroomCounts};
 use latchwheel_core::routes::RequestKind;
 use latchwheel_proxy::{exchange_shares, Exchange, Outgoing, Peer, PeerDuties, Peers, Shared};
@@ -38,7 +38,7 @@
         let shared = node(route(RequestKind::Idempotent, 2), &[server]);
         let others = Peers::default();
         peers.copy_to(&others, name);
-        let duties = PeerDuties { says_hello: false, aggregates: number < aggregators, sum_bytes_per_second: 1e6 };
+        let duties = PeerDuties { sends_heartbeat: false, aggregates: number < aggregators, sum_bytes_per_second: 1e6 };
         let (telling, name) = (shared.clone(), (*name).to_owned());
         let task = tokio::spawn(async move { exchange_shares(telling, socket, &name, duties, others).await });
         nodes.push(Node { shared, task });
@@ -49,7 +49,7 @@
 /// The node sends so many requests to the server.
 fn send(node: &Node, server: &TestServer, count: usize) {
     let prompt = Prompt::default();
-    let ask = Ask {
+    let ask = PlacementQuery {
         service: &server.record().service,
         prompt: &prompt,
         avoid: &[],
@@ -116,7 +116,7 @@
     let nodes = start(&server, &["worker", "front"], 0, 0).await;
     let mut wanted = nodes[0].shared.take_room_wanted().unwrap();
     let prompt = Prompt::default();
-    let ask = Ask {
+    let ask = PlacementQuery {
         service: &server.record().service,
         prompt: &prompt,
         avoid: &[],
@@ -136,7 +136,7 @@
         prompt: Prompt::default(),
     };
     let calm = Exchange::reserve(&nodes[1].shared, placement.clone(), &outgoing);
-    let pressing = Exchange::reserve(&nodes[1].shared, Placement { displaces: true, ..placement }, &outgoing);
+    let pressing = Exchange::reserve(&nodes[1].shared, Placement { preempts: true, ..placement }, &outgoing);
     let key = tokio::time::timeout(Duration::from_secs(20), wanted.recv()).await.unwrap();
     assert_eq!(key, Some(ServerKey::of(&server.record().id)));
     assert!(wanted.try_recv().is_err(), "only one of the two asks");
--- a/crates/proxy/tests/placements.rs
+++ b/crates/proxy/tests/placements.rs
@@ -22,7 +22,7 @@
 }
 
 fn start(shared: &Arc<Shared<TestDialect>>, socket: UdpSocket, name: &'static str, aggregates: bool, peers: Peers) {
-    let duties = PeerDuties { says_hello: false, aggregates, sum_bytes_per_second: 1e6 };
+    let duties = PeerDuties { sends_heartbeat: false, aggregates, sum_bytes_per_second: 1e6 };
     let shared = shared.clone();
     tokio::spawn(async move { exchange_shares(shared, socket, name, duties, peers).await });
 }
@@ -62,7 +62,7 @@
     let (keeper_socket, keeper_address) = socket().await;
     start(&front, front_socket, "front", false, peers(&[("keeper", keeper_address, true)]));
     let others = peers(&[("front", front_address, false)]);
-    let duties = PeerDuties { says_hello: false, aggregates: true, sum_bytes_per_second: 1e6 };
+    let duties = PeerDuties { sends_heartbeat: false, aggregates: true, sum_bytes_per_second: 1e6 };
     let keeping = keeper.clone();
     let task = tokio::spawn(async move { exchange_shares(keeping, keeper_socket, "keeper", duties, others).await });
     until(&front, |choice| matches!(choice, Some(Choice::Send(_)))).await;
--- a/crates/proxy/tests/support/fleet.rs
+++ b/crates/proxy/tests/support/fleet.rs
@@ -231,7 +231,7 @@
         let socket_address = socket.local_addr().unwrap();
         let peers = Peers::default();
         let (callers, stop) = serve_node(&shared).await;
-        let duties = PeerDuties { says_hello: false, aggregates: aggregates(name), sum_bytes_per_second: 1e6 };
+        let duties = PeerDuties { sends_heartbeat: false, aggregates: aggregates(name), sum_bytes_per_second: 1e6 };
         let (sharing, own, known) = (shared.clone(), name.to_owned(), peers.clone());
         let exchange = tokio::spawn(async move { exchange_shares(sharing, socket, &own, duties, known).await });
         let node = FleetNode { name: name.into(), shared, callers, peers, socket_address, exchange, _stop: stop };
--- a/crates/proxy/tests/tenants.rs
+++ b/crates/proxy/tests/tenants.rs
@@ -148,7 +148,7 @@
     let node = start(&server, vec![tenant("red", 4.0, &["key-1"]), tenant("blue", 0.0, &["key-2"])], false).await;
     // A home by itself: no other node is to be heard.
     let socket = UdpSocket::bind("127.0.0.1:0").await.unwrap();
-    let duties = PeerDuties { says_hello: false, aggregates: true, sum_bytes_per_second: 1e6 };
+    let duties = PeerDuties { sends_heartbeat: false, aggregates: true, sum_bytes_per_second: 1e6 };
     let shared = node.shared.clone();
     tokio::spawn(async move { exchange_shares(shared, socket, "home", duties, Peers::default()).await });
     let (mut ran, mut refused) = (0, 0);
--- a/crates/proxy/tests/turns.rs
+++ b/crates/proxy/tests/turns.rs
@@ -72,7 +72,7 @@
     let (other_name, address, aggregates) = other;
     let peers = Peers::default();
     peers.put(other_name, Peer { address, aggregates, defers: false });
-    let duties = PeerDuties { says_hello: false, aggregates: !aggregates, sum_bytes_per_second: 1e6 };
+    let duties = PeerDuties { sends_heartbeat: false, aggregates: !aggregates, sum_bytes_per_second: 1e6 };
     let shared = shared.clone();
     tokio::spawn(async move { exchange_shares(shared, socket, name, duties, peers).await })
 }
