--- a/crates/core/src/admission/drain.rs
+++ b/crates/core/src/admission/drain.rs
@@ -90,7 +90,7 @@
 
     /// As [`Self::time_for`], where other claims do get slots: those of which none got one
     /// wait for ever.
-    pub(super) fn time_beside_others(&self, claims: f64) -> Option<Duration> {
+    pub(super) fn time_with_competition(&self, claims: f64) -> Option<Duration> {
         if self.per_second == Some(0.0) {
             return Some(LONGEST_ESTIMATE);
         }
--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -28,4 +28,4 @@
 
 pub use claim::{work_of, Claim, ClaimId};
 pub use precedence_claims::TENANT_LIMIT;
-pub use queue::{ClaimQueue, Entry, Granted, Refused, Standing, CLAIM_LIMIT, PASSED_OVER_LIMIT};
+pub use queue::{ClaimQueue, Entry, Granted, QueuePosition, Refused, CLAIM_LIMIT, PASSED_OVER_LIMIT};
--- a/crates/core/src/admission/precedence_claims.rs
+++ b/crates/core/src/admission/precedence_claims.rs
@@ -209,12 +209,12 @@
 
     fn wait_of_like(&self, claim: &Claim, in_time: bool) -> Option<Duration> {
         if in_time {
-            return self.timely_drain.time_beside_others((self.ahead_of(claim, true) + 1) as f64);
+            return self.timely_drain.time_with_competition((self.ahead_of(claim, true) + 1) as f64);
         }
         let own = self.tenants.get(&claim.tenant).map_or(0, |tenant| tenant.late_ahead_of(claim));
         let others = self.tenants.iter().filter(|(key, _)| **key != claim.tenant);
         let ahead = own + others.map(|(_, tenant)| tenant.late.len().min(own + 1)).sum::<usize>();
-        self.late_drain.time_beside_others((ahead + 1) as f64)
+        self.late_drain.time_with_competition((ahead + 1) as f64)
     }
 
     /// Time passes while claims wait; it counts for those alone that do.
@@ -229,7 +229,7 @@
 
     /// The claims that can't be in time any more since this was asked last. They go behind
     /// others now, so that it has to be asked again whether they are reached.
-    pub(super) fn take_turned_late(&mut self) -> Vec<Claim> {
+    pub(super) fn take_newly_late(&mut self) -> Vec<Claim> {
         std::mem::take(&mut self.turned_late)
     }
 
--- a/crates/core/src/admission/queue.rs
+++ b/crates/core/src/admission/queue.rs
@@ -28,19 +28,19 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Entry {
     /// It waits.
-    Queued(Standing),
+    Queued(QueuePosition),
     /// It won't get a slot while its caller stays.
     Refused {
         /// Time after which there is room.
         retry_after: Duration,
         /// How it stood.
-        standing: Standing,
+        position: QueuePosition,
     },
 }
 
 /// How a claim stands in the queue.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Standing {
+pub struct QueuePosition {
     /// Claims that go before it, if no others come.
     pub ahead: usize,
     /// All claims that wait.
@@ -126,16 +126,16 @@
     pub fn add(&mut self, now: Instant, claim: Claim) -> (Entry, Option<Refused>) {
         self.withdraw(claim.id);
         self.tick(now);
-        let standing = self.standing(now, &claim);
-        let too_late = is_too_late(now, &claim, &standing);
+        let position = self.position(now, &claim);
+        let too_late = is_too_late(now, &claim, &position);
         let displaced = if self.len() >= CLAIM_LIMIT { self.displaceable(&claim) } else { None };
         if too_late || (self.len() >= CLAIM_LIMIT && displaced.is_none()) {
-            let retry_after = self.drain.promise(now, standing.ahead);
-            return (Entry::Refused { retry_after, standing }, None);
+            let retry_after = self.drain.promise(now, position.ahead);
+            return (Entry::Refused { retry_after, position }, None);
         }
         let refused = displaced.map(|last| self.refuse(now, last));
         self.insert(now, claim);
-        (Entry::Queued(standing), refused)
+        (Entry::Queued(position), refused)
     }
 
     fn tick(&mut self, now: Instant) {
@@ -157,13 +157,13 @@
     }
 
     fn refuse(&mut self, now: Instant, claim: Claim) -> Refused {
-        let ahead = self.standing(now, &claim).ahead;
+        let ahead = self.position(now, &claim).ahead;
         self.withdraw(claim.id);
         Refused { claim, retry_after: self.drain.promise(now, ahead) }
     }
 
     /// How a claim stands, or would stand if it were added.
-    pub fn standing(&self, now: Instant, claim: &Claim) -> Standing {
+    pub fn position(&self, now: Instant, claim: &Claim) -> QueuePosition {
         let of_precedence = self.by_precedence.get(&claim.precedence);
         let tenant_waiting = of_precedence.map_or(0, |claims| claims.waiting_of(claim.tenant));
         let is_alone = tenant_waiting == 0;
@@ -175,7 +175,7 @@
             wait = self.time_for(claim, ahead, false);
         }
         let tenants = of_precedence.map_or(0, PrecedenceClaims::tenant_count) + usize::from(is_alone);
-        Standing { ahead, waiting: self.len(), tenant_waiting, tenants, wait }
+        QueuePosition { ahead, waiting: self.len(), tenant_waiting, tenants, wait }
     }
 
     fn ahead_of(&self, claim: &Claim, in_time: bool) -> usize {
@@ -292,9 +292,9 @@
         let over: Vec<Claim> = over.into_iter().filter_map(|id| self.claim(id)).collect();
         let mut refused: Vec<Refused> = over.into_iter().map(|claim| self.refuse(now, claim)).collect();
         let turned_late: Vec<Claim> =
-            self.by_precedence.values_mut().flat_map(PrecedenceClaims::take_turned_late).collect();
+            self.by_precedence.values_mut().flat_map(PrecedenceClaims::take_newly_late).collect();
         for claim in turned_late {
-            if self.waiting.contains_key(&claim.id) && is_too_late(now, &claim, &self.standing(now, &claim)) {
+            if self.waiting.contains_key(&claim.id) && is_too_late(now, &claim, &self.position(now, &claim)) {
                 refused.push(self.refuse(now, claim));
             }
         }
@@ -337,7 +337,7 @@
 }
 
 /// Whether a claim won't get a slot while its caller stays.
-fn is_too_late(now: Instant, claim: &Claim, standing: &Standing) -> bool {
+fn is_too_late(now: Instant, claim: &Claim, position: &QueuePosition) -> bool {
     let stays = claim.waits_until.since(now);
-    standing.wait.is_some_and(|wait| wait > stays.mul_f64(REACHED_PART))
+    position.wait.is_some_and(|wait| wait > stays.mul_f64(REACHED_PART))
 }
--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -65,11 +65,11 @@
     /// Whether one more attempt could follow if the present one fails after
     /// it was sent.
     pub fn may_repeat(&self) -> bool {
-        self.may_repeat_beside(0)
+        self.may_repeat_with_others(0)
     }
 
     /// The same for an attempt with so many others in progress beside it.
-    pub fn may_repeat_beside(&self, others: u32) -> bool {
+    pub fn may_repeat_with_others(&self, others: u32) -> bool {
         self.kind.is_repeatable() && self.counted + 1 + others < self.limit
     }
 
@@ -96,7 +96,7 @@
         if allowed && self.counted < self.limit && left > LEAST_TIME {
             return NextStep::TryAgain;
         }
-        NextStep::GiveUp(self.verdict(ResultCode::EngineUnreachable))
+        NextStep::GiveUp(self.result_code(ResultCode::EngineUnreachable))
     }
 
     /// An attempt was withdrawn because another one brought its first piece. It may have
@@ -107,7 +107,7 @@
     }
 
     /// The code to tell the caller: `not_run` unless an attempt may have run.
-    pub fn verdict(&self, not_run: ResultCode) -> ResultCode {
+    pub fn result_code(&self, not_run: ResultCode) -> ResultCode {
         if self.may_have_run {
             ResultCode::OutcomeUnknown
         } else {
--- a/crates/core/src/circuit_breaker.rs
+++ b/crates/core/src/circuit_breaker.rs
@@ -8,9 +8,9 @@
 //!
 //! Invariant: while nobody is known to have an answer, all nodes together probe
 //! about as often as [`ProbePolicy::calls_per_second`] allows, but each node at
-//! least once in [`LONGEST_SHARED_PAUSE`], so that none depends on another.
+//! least once in [`MAX_SHARED_PAUSE`], so that none depends on another.
 
-use crate::retry::doubled_pause;
+use crate::retry::exponential_backoff;
 use crate::time::Instant;
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
 /// [`SPREAD`] it is back in touch within four seconds of the store's return,
 /// also where no upstream is left to tell of it. The strictest bound on news is
 /// three seconds of contact and two for the change itself.
-pub const LONGEST_SHARED_PAUSE: Duration = Duration::from_secs(3);
+pub const MAX_SHARED_PAUSE: Duration = Duration::from_secs(3);
 /// Time between two probes of a node that knows no other node yet.
 const ALONE_PAUSE: Duration = Duration::from_secs(1);
 /// Probes are spread over a pause by this share of it, so that nodes that
@@ -119,7 +119,7 @@
     }
 
     /// An upstream tells that the store doesn't answer it.
-    pub fn note_told_away(&mut self, now: Instant, draw: f64) {
+    pub fn note_upstream_unreachable(&mut self, now: Instant, draw: f64) {
         self.elsewhere = Elsewhere::Unknown;
         if !self.is_open() {
             self.open(now, draw);
@@ -128,7 +128,7 @@
 
     /// An upstream tells that the store answers it, or another node. If that is
     /// news, the next call is made; tells whether calls were held back until now.
-    pub fn note_told_answering(&mut self, now: Instant) -> bool {
+    pub fn note_upstream_answering(&mut self, now: Instant) -> bool {
         let news = self.elsewhere != Elsewhere::Answering;
         self.elsewhere = Elsewhere::Answering;
         let State::Open { next_probe, .. } = self.state else { return false };
@@ -149,13 +149,13 @@
             return LEAST_PAUSE;
         }
         if self.elsewhere == Elsewhere::Answering {
-            return doubled_pause(LEAST_PAUSE, LONGEST_OWN_PAUSE, failed_probes);
+            return exponential_backoff(LEAST_PAUSE, LONGEST_OWN_PAUSE, failed_probes);
         }
         if self.policy.nodes < 2 {
             return ALONE_PAUSE;
         }
         let shared = self.policy.nodes as f64 / self.policy.calls_per_second.max(f64::MIN_POSITIVE);
-        Duration::from_secs_f64(shared.min(LONGEST_SHARED_PAUSE.as_secs_f64())).max(LEAST_PAUSE)
+        Duration::from_secs_f64(shared.min(MAX_SHARED_PAUSE.as_secs_f64())).max(LEAST_PAUSE)
     }
 }
 
--- a/crates/core/src/dispatch/keeper.rs
+++ b/crates/core/src/dispatch/keeper.rs
@@ -125,11 +125,11 @@
 /// Which of the nodes that may keep servers do so: those that hear others best, and
 /// deputies only where no other hears as well. None where all hear too few.
 pub fn select_trackers(candidates: &[(Coordinator, Coverage)]) -> Vec<NodeId> {
-    let best = candidates.iter().map(|(_, hearing)| *hearing).max().unwrap_or_default();
+    let best = candidates.iter().map(|(_, coverage)| *coverage).max().unwrap_or_default();
     if best == Coverage::Few {
         return Vec::new();
     }
-    let of_best = candidates.iter().filter(|(_, hearing)| *hearing == best);
+    let of_best = candidates.iter().filter(|(_, coverage)| *coverage == best);
     let (deputies, others): (Vec<Coordinator>, Vec<Coordinator>) =
         of_best.map(|(home, _)| *home).partition(|home| home.fallback);
     let chosen = if others.is_empty() { deputies } else { others };
--- a/crates/core/src/dispatch/mod.rs
+++ b/crates/core/src/dispatch/mod.rs
@@ -28,7 +28,7 @@
 pub use holders::{holders_of, is_holder};
 pub use keeper::{select_trackers, tracker_of, TrackerQuery, TrackerReply};
 pub use pace::{Slowdown, SpeedUpdate};
-pub use peers::{Coverage, NodeShares, ServerKey, ServerShare, SharesSum, REPORT_LIFE};
+pub use peers::{Coverage, NodeShares, ServerKey, ServerShare, SharesSum, REPORT_TTL};
 pub use queues::{RouteKey, RouteQueue};
 pub use server::{ServerLoad, ServerReport};
 
@@ -140,7 +140,7 @@
     /// Identities of servers by their names among nodes.
     ids: HashMap<ServerKey, Arc<str>>,
     keeping: TrackedServers,
-    hearing: Coverage,
+    coverage: Coverage,
 }
 
 impl Dispatcher {
@@ -281,9 +281,9 @@
 
     /// Whether requests of the service are being refused, here or elsewhere:
     /// work that can wait holds few slots meanwhile.
-    pub fn is_pressed(&self, now: Instant, service: &str) -> bool {
+    pub fn is_overloaded(&self, now: Instant, service: &str) -> bool {
         let own = self.refused_at.get(service).is_some_and(|at| now.since(*at) < PRESSURE_TIME);
-        own || self.peers.press(now, stable_hash(service.as_bytes()))
+        own || self.peers.is_overloaded_for(now, stable_hash(service.as_bytes()))
     }
 
     /// Slots of all servers of the service.
@@ -294,10 +294,10 @@
     /// What this node tells others of itself.
     pub fn shares(&self, now: Instant) -> NodeShares {
         let refused = self.refused_at.iter().filter(|(_, at)| now.since(**at) < PRESSURE_TIME);
-        let mut pressed: Vec<u64> = refused.map(|(service, _)| stable_hash(service.as_bytes())).collect();
-        pressed.sort_unstable();
+        let mut overloaded: Vec<u64> = refused.map(|(service, _)| stable_hash(service.as_bytes())).collect();
+        overloaded.sort_unstable();
         let servers = self.servers.values().filter_map(|server| server.share(now)).collect();
-        NodeShares { servers, pressed, waiting: self.waiting, queues: self.queues.told(), hearing: self.hearing }
+        NodeShares { servers, overloaded, waiting: self.waiting, queues: self.queues.told(), coverage: self.coverage }
     }
 
     /// This node keeps so many tokens of unfinished batch work on a route.
@@ -326,7 +326,7 @@
     fn waiting_elsewhere(&self, now: Instant) -> u32 {
         let workers = self.deferring.as_ref().map_or(0, |(_, all)| all.len());
         let parts = u32::try_from(hellos::parts(workers)).unwrap_or(u32::MAX);
-        self.peers.waiting_by_sum(now).unwrap_or_else(|| self.peers.waiting_heard(now).saturating_mul(parts))
+        self.peers.waiting_by_sum(now).unwrap_or_else(|| self.peers.waiting_reported(now).saturating_mul(parts))
     }
 
     /// Deferrable runs that wait at another node, as it told lately.
@@ -341,8 +341,8 @@
 
     /// How well this node hears others: `nodes` of them, with these workers.
     pub fn update_coverage(&mut self, now: Instant, nodes: usize, workers: &[NodeId]) -> Coverage {
-        self.hearing = self.peers.own_coverage(now, nodes, workers);
-        self.hearing
+        self.coverage = self.peers.own_coverage(now, nodes, workers);
+        self.coverage
     }
 
     /// Another node tells of itself; `sequence` rises with its reports.
--- a/crates/core/src/dispatch/peers.rs
+++ b/crates/core/src/dispatch/peers.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 /// Time after which a report counts for nothing.
-pub const REPORT_LIFE: Duration = Duration::from_millis(1500);
+pub const REPORT_TTL: Duration = Duration::from_millis(1500);
 
 /// A keeper that is not heard for this time keeps no servers any more.
 const KEEPER_SILENCE: Duration = Duration::from_millis(600);
@@ -65,13 +65,13 @@
     /// What it does at servers.
     pub servers: Vec<ServerShare>,
     /// Hashes of services for which it refused requests lately, ordered.
-    pub pressed: Vec<u64>,
+    pub overloaded: Vec<u64>,
     /// Deferrable runs that it would start if there were room.
     pub waiting: u32,
     /// Unfinished batch work that it keeps, ordered by route.
     pub queues: Vec<RouteQueue>,
     /// How well it hears others, for nodes that may sum up what all tell.
-    pub hearing: Coverage,
+    pub coverage: Coverage,
 }
 
 /// How well a node hears others.
@@ -92,15 +92,22 @@
     at: Instant,
     sequence: u64,
     shares: HashMap<ServerKey, ServerShare>,
-    pressed: Vec<u64>,
+    overloaded: Vec<u64>,
     waiting: u32,
-    hearing: Coverage,
+    coverage: Coverage,
 }
 
 impl Report {
     /// What is known of a node that told nothing yet.
     fn empty(now: Instant) -> Self {
-        Self { at: now, sequence: 0, shares: HashMap::new(), pressed: Vec::new(), waiting: 0, hearing: Coverage::Few }
+        Self {
+            at: now,
+            sequence: 0,
+            shares: HashMap::new(),
+            overloaded: Vec::new(),
+            waiting: 0,
+            coverage: Coverage::Few,
+        }
     }
 }
 
@@ -109,7 +116,7 @@
 struct SumPart {
     at: Instant,
     shares: HashMap<ServerKey, ServerShare>,
-    pressed: Vec<u64>,
+    overloaded: Vec<u64>,
     waiting: u32,
 }
 
@@ -206,8 +213,8 @@
         for share in shares.values() {
             self.totals.entry(share.server).or_default().add(from.0, now, share);
         }
-        let (pressed, waiting, hearing) = (told.pressed, told.waiting, told.hearing);
-        let report = Report { at: now, sequence, shares, pressed, waiting, hearing };
+        let (overloaded, waiting, coverage) = (told.overloaded, told.waiting, told.coverage);
+        let report = Report { at: now, sequence, shares, overloaded, waiting, coverage };
         self.reports.insert(from.0, report);
         self.last_at = now;
         self.expire(now);
@@ -252,7 +259,7 @@
     /// The node with most deferrable runs at a server, one of which counts no more:
     /// it is asked to break one off.
     pub(super) fn take_deferrable(&mut self, now: Instant, server: ServerKey) -> Option<NodeId> {
-        let fresh = self.reports.iter_mut().filter(|(_, report)| now.since(report.at) < REPORT_LIFE);
+        let fresh = self.reports.iter_mut().filter(|(_, report)| now.since(report.at) < REPORT_TTL);
         let runs = fresh.filter_map(|(node, report)| report.shares.get_mut(&server).map(|share| (*node, share)));
         let (node, share) = runs.max_by_key(|(_, share)| share.deferrable).filter(|(_, share)| share.deferrable > 0)?;
         share.deferrable -= 1;
@@ -266,7 +273,7 @@
 
     fn is_outdated(&self, now: Instant, from: NodeId, sequence: u64) -> bool {
         let present = self.reports.get(&from.0);
-        present.is_some_and(|present| sequence <= present.sequence && now.since(present.at) < REPORT_LIFE)
+        present.is_some_and(|present| sequence <= present.sequence && now.since(present.at) < REPORT_TTL)
     }
 
     fn take_from_totals(&mut self, node: u64, report: &Report) {
@@ -281,7 +288,7 @@
 
     /// Forgets reports that are old.
     fn expire(&mut self, now: Instant) {
-        let old = |report: &Report| now.since(report.at) >= REPORT_LIFE;
+        let old = |report: &Report| now.since(report.at) >= REPORT_TTL;
         let nodes: Vec<u64> = self.reports.iter().filter(|(_, report)| old(report)).map(|(node, _)| *node).collect();
         for node in nodes {
             if let Some(report) = self.reports.remove(&node) {
@@ -306,7 +313,7 @@
             }
         }
         let waiting = sum.shares.waiting.saturating_sub(own.waiting);
-        *present = Some(SumPart { at: now, shares, pressed: sum.shares.pressed, waiting });
+        *present = Some(SumPart { at: now, shares, overloaded: sum.shares.overloaded, waiting });
     }
 
     /// Sums are not used any more: all nodes are heard directly.
@@ -318,37 +325,37 @@
     pub(super) fn sum_with(&self, now: Instant, own: NodeShares) -> NodeShares {
         let mut servers: HashMap<ServerKey, ServerShare> =
             own.servers.into_iter().map(|share| (share.server, share)).collect();
-        let (mut pressed, hearing) = (own.pressed, own.hearing);
+        let (mut overloaded, coverage) = (own.overloaded, own.coverage);
         let mut waiting = own.waiting;
         for report in self.fresh(now) {
             for (server, share) in &report.shares {
                 servers.entry(*server).or_insert(ServerShare { server: *server, ..ServerShare::default() }).add(share);
             }
-            pressed.extend(&report.pressed);
+            overloaded.extend(&report.overloaded);
             waiting = waiting.saturating_add(report.waiting);
         }
-        pressed.sort_unstable();
-        pressed.dedup();
+        overloaded.sort_unstable();
+        overloaded.dedup();
         let queues = self.queues.sum_with(now, &own.queues);
-        NodeShares { servers: servers.into_values().collect(), pressed, waiting, queues, hearing }
+        NodeShares { servers: servers.into_values().collect(), overloaded, waiting, queues, coverage }
     }
 
     /// Whether a node refuses requests for a service.
-    pub(super) fn press(&self, now: Instant, service: u64) -> bool {
-        let told = self.fresh(now).any(|report| report.pressed.contains(&service));
-        let mut sums = self.sum.iter().flatten().filter(|part| now.since(part.at) < REPORT_LIFE);
-        told || sums.any(|part| part.pressed.contains(&service))
+    pub(super) fn is_overloaded_for(&self, now: Instant, service: u64) -> bool {
+        let told = self.fresh(now).any(|report| report.overloaded.contains(&service));
+        let mut sums = self.sum.iter().flatten().filter(|part| now.since(part.at) < REPORT_TTL);
+        told || sums.any(|part| part.overloaded.contains(&service))
     }
 
     /// Deferrable runs that the other nodes would start if there were room, by the last
     /// sum; `None` if there was none lately.
     pub(super) fn waiting_by_sum(&self, now: Instant) -> Option<u32> {
-        let mut sums = self.sum.iter().flatten().filter(|part| now.since(part.at) < REPORT_LIFE);
+        let mut sums = self.sum.iter().flatten().filter(|part| now.since(part.at) < REPORT_TTL);
         sums.next().map(|part| part.waiting)
     }
 
     /// The same of the nodes that are heard directly.
-    pub(super) fn waiting_heard(&self, now: Instant) -> u32 {
+    pub(super) fn waiting_reported(&self, now: Instant) -> u32 {
         self.fresh(now).map(|report| report.waiting).sum()
     }
 
@@ -359,13 +366,13 @@
 
     /// Deferrable runs that one node would start, as it told lately.
     pub(super) fn waiting_at(&self, now: Instant, node: NodeId) -> Option<u32> {
-        self.reports.get(&node.0).filter(|report| now.since(report.at) < REPORT_LIFE).map(|report| report.waiting)
+        self.reports.get(&node.0).filter(|report| now.since(report.at) < REPORT_TTL).map(|report| report.waiting)
     }
 
     /// How well a node hears others, as it told; `Few` if it is not heard itself.
     pub(super) fn coverage_of(&self, now: Instant, node: NodeId) -> Coverage {
         let report = self.reports.get(&node.0).filter(|report| now.since(report.at) < KEEPER_SILENCE);
-        report.map_or(Coverage::Few, |report| report.hearing)
+        report.map_or(Coverage::Few, |report| report.coverage)
     }
 
     /// How well this node hears others: `nodes` of them, with these workers.
@@ -384,7 +391,7 @@
     }
 
     fn fresh(&self, now: Instant) -> impl Iterator<Item = &Report> {
-        self.reports.values().filter(move |report| now.since(report.at) < REPORT_LIFE)
+        self.reports.values().filter(move |report| now.since(report.at) < REPORT_TTL)
     }
 
     /// What all other nodes do at a server; it is suspect from the time of
@@ -393,14 +400,14 @@
     pub(super) fn at(&self, now: Instant, server: ServerKey) -> PeerShare {
         let part = self.sum.get(part_of(server, self.sum.len())).and_then(Option::as_ref);
         let mut result = PeerShare::default();
-        if let Some(part) = part.filter(|part| now.since(part.at) < REPORT_LIFE) {
+        if let Some(part) = part.filter(|part| now.since(part.at) < REPORT_TTL) {
             if let Some(share) = part.shares.get(&server) {
                 result.add(share, part.at);
             }
             return result;
         }
         // Where nothing is heard any more, all reports are old.
-        if now.since(self.last_at) < REPORT_LIFE {
+        if now.since(self.last_at) < REPORT_TTL {
             return self.totals.get(&server).map(Total::share).unwrap_or_default();
         }
         result
@@ -455,10 +462,10 @@
             part,
             shares: NodeShares {
                 servers: Vec::new(),
-                pressed: self.pressed.clone(),
+                overloaded: self.overloaded.clone(),
                 waiting: self.waiting,
                 queues: self.queues.clone(),
-                hearing: self.hearing,
+                coverage: self.coverage,
             },
         };
         let mut sums: Vec<SharesSum> = (0..parts).map(part).collect();
--- a/crates/core/src/dispatch/server_set.rs
+++ b/crates/core/src/dispatch/server_set.rs
@@ -15,7 +15,7 @@
         let ready: Vec<&ServerRecord> = ready.collect();
         let present: HashSet<&Arc<str>> = ready.iter().map(|record| &record.id).collect();
         let left: Vec<Arc<str>> = self.servers.keys().filter(|id| !present.contains(id)).cloned().collect();
-        left.iter().for_each(|id| self.set_left(id));
+        left.iter().for_each(|id| self.set_draining(id));
         ready.into_iter().for_each(|record| self.set_one_ready(record));
     }
 
@@ -38,7 +38,7 @@
     }
 
     /// A server gets no new work any more.
-    pub fn set_left(&mut self, id: &str) {
+    pub fn set_draining(&mut self, id: &str) {
         let Some(server) = self.servers.get_mut(id) else { return };
         self.servers_version += 1;
         server.ready = false;
@@ -63,7 +63,7 @@
 
     /// This node runs deferrable work, and so do the others of `all`, which may
     /// hold this one too. Said again, it costs nothing.
-    pub fn set_deferring(&mut self, own: NodeId, all: Vec<NodeId>) {
+    pub fn set_deferrable_nodes(&mut self, own: NodeId, all: Vec<NodeId>) {
         let deferring = Some((own, all));
         if self.deferring != deferring {
             self.deferring = deferring;
--- a/crates/core/src/give_way.rs
+++ b/crates/core/src/give_way.rs
@@ -22,7 +22,7 @@
     /// When it is expected to end without a pause; its start, if no time is known.
     pub expected_end: Instant,
     /// Whether an earlier run of the item was broken off.
-    pub cut_before: bool,
+    pub preempted_before: bool,
     /// Rises with the starts of runs.
     pub number: u64,
 }
@@ -32,11 +32,11 @@
     /// ones, those that were not cut before, the one that is due last, the latest.
     fn rank(&self, now: Instant) -> (bool, bool, bool, u64, u64) {
         let goes_on = self.expected_end > now + CLOSE_TO_END;
-        (goes_on, self.overdue, !self.cut_before, self.due_ms, self.number)
+        (goes_on, self.overdue, !self.preempted_before, self.due_ms, self.number)
     }
 }
 
 /// Position of the run that gives way first; `None` if there is none.
-pub fn first_to_give_way(now: Instant, runs: &[RunOutlook]) -> Option<usize> {
+pub fn first_to_preempt(now: Instant, runs: &[RunOutlook]) -> Option<usize> {
     (0..runs.len()).max_by_key(|position| runs[*position].rank(now))
 }
--- a/crates/core/src/item_progress.rs
+++ b/crates/core/src/item_progress.rs
@@ -7,7 +7,7 @@
 //! are not the same: one server may fail at everything. A broken connection is no failure of the item: the next run goes on
 //! after the last whole event.
 
-use crate::retry::doubled_pause;
+use crate::retry::exponential_backoff;
 use crate::time::Instant;
 use std::sync::Arc;
 use std::time::Duration;
@@ -61,7 +61,7 @@
 
 /// When an item's first run at this worker began, and what was kept of it then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Begun {
+pub struct RunStart {
     /// Start of its first run.
     pub at: Instant,
     /// Events that were kept before.
@@ -76,7 +76,7 @@
     /// Servers that failed at it.
     failed_at: Vec<Arc<str>>,
     interruptions: u32,
-    begun: Option<Begun>,
+    begun: Option<RunStart>,
     events: u64,
     last_event: Option<u64>,
     text: Vec<u8>,
@@ -156,12 +156,12 @@
     }
 
     /// A run is about to start; the first one is remembered.
-    pub fn note_begun(&mut self, now: Instant) {
-        self.begun.get_or_insert(Begun { at: now, events: self.events });
+    pub fn note_run_started(&mut self, now: Instant) {
+        self.begun.get_or_insert(RunStart { at: now, events: self.events });
     }
 
     /// When its first run began; `None` if it was never started here.
-    pub fn begun(&self) -> Option<Begun> {
+    pub fn begun(&self) -> Option<RunStart> {
         self.begun
     }
 
@@ -231,7 +231,7 @@
     /// Pause after a failed run.
     fn pause(&self) -> Duration {
         let tries = (self.failures + self.interruptions).saturating_sub(1);
-        doubled_pause(FIRST_PAUSE, LONGEST_PAUSE, tries)
+        exponential_backoff(FIRST_PAUSE, LONGEST_PAUSE, tries)
     }
 
     fn wait_or_give_up(&mut self, now: Instant, failed_for_good: bool, rules: &GiveUpRules, pause: Duration) {
--- a/crates/core/src/leasing.rs
+++ b/crates/core/src/leasing.rs
@@ -53,7 +53,7 @@
 
 /// Who asks for items.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Asker {
+pub struct LeaseRequester {
     /// The node.
     pub node: NodeId,
     /// Its lease request, never used again by any node; zero is none.
@@ -210,7 +210,7 @@
     pub fn grant_shared(
         &mut self,
         now: Instant,
-        asker: Asker,
+        asker: LeaseRequester,
         rows: &[RowWeight<'_>],
         room: usize,
         state: &JobState,
@@ -240,7 +240,14 @@
     /// Grants items of a row to a node, the job with the nearest deadline
     /// first. Nothing is granted while an earlier leader's leases may hold, nor to a
     /// request that comes after word that its answer isn't taken.
-    pub fn grant(&mut self, now: Instant, asker: Asker, row: &str, room: usize, state: &JobState) -> Vec<Grant> {
+    pub fn grant(
+        &mut self,
+        now: Instant,
+        asker: LeaseRequester,
+        row: &str,
+        room: usize,
+        state: &JobState,
+    ) -> Vec<Grant> {
         let mut grants = Vec::new();
         if now < self.granting_from || room == 0 || self.unanswered.contains_key(&asker.request) {
             return grants;
@@ -272,7 +279,7 @@
         for grant in &grants {
             self.held.hold(&grant.job, grant.positions.iter().copied());
             let positions = grant.positions.iter().copied().collect();
-            let Asker { node, request } = asker;
+            let LeaseRequester { node, request } = asker;
             let lease = Lease { node, request, job: grant.job.clone(), positions, until: now + LEASE_LENGTH };
             self.leases.insert(grant.lease, lease);
         }
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -181,7 +181,7 @@
 
     /// The share of a row that has just refused a request, unless its home
     /// was asked a moment ago.
-    pub fn pressing(&mut self, now: Instant, row: &str) -> Vec<ShareDemand> {
+    pub fn urgent_demands(&mut self, now: Instant, row: &str) -> Vec<ShareDemand> {
         let Some(share) = self.shares.get_mut(row) else { return Vec::new() };
         let asked_lately = share.pressed_at.is_some_and(|at| now.since(at).as_secs_f64() < PRESSED_SECONDS);
         if asked_lately || now + SHARE_RENEWAL < share.valid_until {
--- a/crates/core/src/membership/probing.rs
+++ b/crates/core/src/membership/probing.rs
@@ -5,7 +5,7 @@
     is_live, Action, Membership, Probe, DEAD_RETENTION, INDIRECT_PROBES, RELAYS, SUSPICION_FACTOR, SUSPICION_MINIMUM,
 };
 use crate::identity::{stable_hash, NodeId};
-use crate::ownership::is_among_first;
+use crate::ownership::is_in_rendezvous_top;
 use crate::time::Instant;
 use latchwheel_protocol::v1::{MemberRecord, MemberStatus};
 use rand::seq::{IteratorRandom, SliceRandom};
@@ -122,7 +122,7 @@
     pub(super) fn is_relay_for(&self, region: &str) -> bool {
         let name = stable_hash(region.as_bytes());
         let near = self.live().filter(|record| self.same_region(record)).map(|record| NodeId(record.node));
-        is_among_first(NodeId(self.me.node), name, near, RELAYS)
+        is_in_rendezvous_top(NodeId(self.me.node), name, near, RELAYS)
     }
 
     pub(super) fn reconnect(&mut self, actions: &mut Vec<Action>) {
--- a/crates/core/src/ownership.rs
+++ b/crates/core/src/ownership.rs
@@ -82,7 +82,7 @@
 
 /// Whether a node is among the first `count` that rendezvous hashing names
 /// for a name; `others` may contain the node itself.
-pub fn is_among_first(node: NodeId, name_hash: u64, others: impl Iterator<Item = NodeId>, count: usize) -> bool {
+pub fn is_in_rendezvous_top(node: NodeId, name_hash: u64, others: impl Iterator<Item = NodeId>, count: usize) -> bool {
     let own = stable_pair_hash(node.0, name_hash);
     others.filter(|other| stable_pair_hash(other.0, name_hash) > own).take(count).count() < count
 }
--- a/crates/core/src/permits/holder.rs
+++ b/crates/core/src/permits/holder.rs
@@ -1,6 +1,6 @@
 //! A node that has requests of tenants: it asks their homes for permits.
 
-use super::{coordinators_of, Coordinator, PERMIT_LIFE};
+use super::{coordinators_of, Coordinator, PERMIT_TTL};
 use crate::identity::NodeId;
 use crate::tenants::{RateLimit, Tenant, TenantKey};
 use crate::time::Instant;
@@ -21,7 +21,7 @@
 /// Longest time that a request waits: a home that is away is replaced within 0.5 s.
 const LONGEST_WAIT: Duration = Duration::from_millis(700);
 /// What a request is told that waited in vain.
-const COME_BACK: Duration = Duration::from_millis(250);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
 /// All nodes that reach no home use this part of a limit together.
 const OWN_PART: f64 = 0.3;
 /// Time over which requests are counted to know how many come.
@@ -135,7 +135,7 @@
 
     /// Permits to hold for requests to come.
     fn ahead(&self, now: Instant) -> u32 {
-        (self.rate_now(now) * PERMIT_LIFE.as_secs_f64() * AHEAD_PART) as u32
+        (self.rate_now(now) * PERMIT_TTL.as_secs_f64() * AHEAD_PART) as u32
     }
 
     fn wants(&self, now: Instant) -> bool {
@@ -260,7 +260,7 @@
         held.call = None;
         held.hops = 0;
         self.silent_until.remove(&call.home);
-        let until = call.sent_at + PERMIT_LIFE;
+        let until = call.sent_at + PERMIT_TTL;
         let granted = if now < until { granted } else { 0 };
         let go = granted.min(held.waiting);
         let refused = call.urgent.saturating_sub(granted).min(held.waiting - go);
@@ -294,7 +294,7 @@
             if held.waiting == 0 || waited < OWN_PART_AFTER {
                 continue;
             }
-            let mut answered = PermitOutcome { retry_after: COME_BACK, ..PermitOutcome::default() };
+            let mut answered = PermitOutcome { retry_after: DEFAULT_RETRY_AFTER, ..PermitOutcome::default() };
             if held.take_own(now, nodes) {
                 answered.go = 1;
             }
--- a/crates/core/src/permits/home.rs
+++ b/crates/core/src/permits/home.rs
@@ -9,10 +9,10 @@
 
 /// A node counts as heard for this time: every node tells the homes of itself each
 /// 150 ms, and datagrams may be lost.
-const HEARD_TIME: Duration = Duration::from_millis(450);
+const CONTACT_TIMEOUT: Duration = Duration::from_millis(450);
 /// A home that is not heard for this time is taken to be away. Longer than
-/// [`HEARD_TIME`]: one that is cut off grants no more by then.
-const HOME_SILENCE: Duration = Duration::from_millis(600);
+/// [`CONTACT_TIMEOUT`]: one that is cut off grants no more by then.
+const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(600);
 /// A process that did nothing for this time may have been replaced meanwhile.
 const LONGEST_PAUSE: Duration = Duration::from_millis(450);
 /// Permits are granted ahead only as long as this part of a bucket is left.
@@ -70,12 +70,12 @@
         self.heard.insert(node.0, now);
     }
 
-    /// Time passes; to be told several times in [`HEARD_TIME`]. `other_nodes` is the
+    /// Time passes; to be told several times in [`CONTACT_TIMEOUT`]. `other_nodes` is the
     /// number of the other nodes.
     pub fn tick(&mut self, now: Instant, other_nodes: usize) {
         let paused = now.since(self.ticked_at) > LONGEST_PAUSE;
         self.ticked_at = now;
-        let heard = self.heard.values().filter(|at| now.since(**at) < HEARD_TIME).count();
+        let heard = self.heard.values().filter(|at| now.since(**at) < CONTACT_TIMEOUT).count();
         if paused || heard * 2 < other_nodes {
             self.hears_most_since = None;
         } else {
@@ -88,7 +88,7 @@
     pub fn may_grant(&self, now: Instant, before: &[NodeId]) -> Option<Instant> {
         let since = self.hears_most_since.filter(|_| now.since(self.ticked_at) <= LONGEST_PAUSE)?;
         match before.iter().filter_map(|home| self.heard.get(&home.0)).max() {
-            Some(at) if now.since(*at) < HOME_SILENCE => None,
+            Some(at) if now.since(*at) < COORDINATOR_TIMEOUT => None,
             Some(at) => Some(since.max(*at)),
             None => Some(since),
         }
--- a/crates/core/src/permits/mod.rs
+++ b/crates/core/src/permits/mod.rs
@@ -3,7 +3,7 @@
 //! A tenant's limit is one token bucket, kept by one node at a time: its *home*.
 //! Any node that has a request of the tenant asks the home for a permit, some
 //! ahead where many requests come. A permit is used by one request, within
-//! [`PERMIT_LIFE`]. Few nodes are homes; rendezvous hashing orders them for each
+//! [`PERMIT_TTL`]. Few nodes are homes; rendezvous hashing orders them for each
 //! tenant, so that nothing is agreed upon and each carries an even part.
 //!
 //! Invariants:
@@ -27,7 +27,7 @@
 
 /// Time in which a permit must be used, counted from the sending of the call that
 /// it was granted to. What is allowed in a window grows by the rate in this time.
-pub const PERMIT_LIFE: Duration = Duration::from_millis(300);
+pub const PERMIT_TTL: Duration = Duration::from_millis(300);
 
 /// By how much a limit may be exceeded in any window.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -61,7 +61,7 @@
 
     /// Permits that a bucket holds at most.
     fn capacity(&self, limit: &RateLimit) -> f64 {
-        let late = limit.per_second * PERMIT_LIFE.as_secs_f64();
+        let late = limit.per_second * PERMIT_TTL.as_secs_f64();
         (limit.burst + self.of(limit) * BUCKET_PART - late).max(1.0)
     }
 
--- a/crates/core/src/quarantine/evidence.rs
+++ b/crates/core/src/quarantine/evidence.rs
@@ -1,6 +1,6 @@
 //! Weighing which request ended a server.
 
-use super::verdicts::Standing;
+use super::verdicts::QuarantineStatus;
 use crate::dispatch::ServerKey;
 use crate::fingerprint::{Fingerprint, RequestKey};
 use crate::time::Instant;
@@ -132,7 +132,7 @@
         server: ServerKey,
         requests: &[RequestKey],
         rank: usize,
-        standing: impl Fn(Fingerprint) -> Standing,
+        status: impl Fn(Fingerprint) -> QuarantineStatus,
     ) -> bool {
         self.drop_old(now);
         let is_first_word = !self.crashes.contains_key(&server);
@@ -145,7 +145,7 @@
         for request in requests {
             crash.note_request(*request);
         }
-        crash.explained |= requests.iter().any(|request| standing(request.fingerprint) == Standing::Quarantined);
+        crash.explained |= requests.iter().any(|request| status(request.fingerprint) == QuarantineStatus::Quarantined);
         if crash.requests.len() > before && !crash.explained {
             let due = crash.settled_at.max(now);
             self.decide_at = Some(self.decide_at.map_or(due, |at| at.min(due)));
@@ -184,12 +184,12 @@
     }
 
     /// Decides by all that has settled.
-    pub fn decide(&mut self, now: Instant, standing: impl Fn(Fingerprint) -> Standing) -> Decisions {
+    pub fn decide(&mut self, now: Instant, status: impl Fn(Fingerprint) -> QuarantineStatus) -> Decisions {
         self.decide_at = self.crashes.values().map(|crash| crash.settled_at).filter(|at| *at > now).min();
         let mut decisions = Decisions { lost: self.find_losses(now), ..Decisions::default() };
         loop {
             let suspects = self.suspects(now);
-            let causes = causes_among(&suspects, &standing);
+            let causes = causes_among(&suspects, &status);
             if causes.is_empty() {
                 let watched = suspects.into_iter().filter(|(_, suspect)| suspect.servers.len() >= CRASHES_TO_WATCH);
                 decisions.watch = watched.map(|(request, _)| request).collect();
@@ -283,9 +283,9 @@
 /// well, or all of those between which even much evidence does not decide.
 fn causes_among(
     suspects: &HashMap<RequestKey, Suspect>,
-    standing: impl Fn(Fingerprint) -> Standing,
+    status: impl Fn(Fingerprint) -> QuarantineStatus,
 ) -> Vec<RequestKey> {
-    let known = suspects.keys().find(|request| standing(request.fingerprint) == Standing::OnProbation);
+    let known = suspects.keys().find(|request| status(request.fingerprint) == QuarantineStatus::OnProbation);
     if let Some(request) = known {
         return vec![*request];
     }
--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -29,4 +29,4 @@
 
 pub use evidence::{CrashEvidence, Decisions, CRASHES_TO_QUARANTINE};
 pub use holds::{HOLD_LIMIT, HOLD_TIME, RUN_TIME};
-pub use verdicts::{Quarantine, Standing, Verdict, WatchEnd, REMEMBERED, VERDICT_LIMIT};
+pub use verdicts::{Quarantine, QuarantineEntry, QuarantineStatus, WatchEnd, QUARANTINE_LIMIT, QUARANTINE_RETENTION};
--- a/crates/core/src/quarantine/verdicts.rs
+++ b/crates/core/src/quarantine/verdicts.rs
@@ -16,9 +16,9 @@
 const LONGEST_QUARANTINE: Duration = Duration::from_secs(24 * 3600);
 /// Time after its end for which a verdict is remembered, so that a request that goes on
 /// to end servers is known at once.
-pub const REMEMBERED: Duration = Duration::from_secs(24 * 3600);
+pub const QUARANTINE_RETENTION: Duration = Duration::from_secs(24 * 3600);
 /// Verdicts that are kept at most; beyond it those that end first are dropped.
-pub const VERDICT_LIMIT: usize = 1024;
+pub const QUARANTINE_LIMIT: usize = 1024;
 /// Requests that are watched at most, and for how long.
 const WATCH_LIMIT: usize = 1024;
 const WATCH_TIME: Duration = Duration::from_secs(3600);
@@ -28,7 +28,7 @@
 /// What was decided about a request. Of two verdicts on one request the one that was
 /// changed last holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Verdict {
+pub struct QuarantineEntry {
     /// The request.
     pub request: RequestKey,
     /// When it was decided or lifted.
@@ -45,7 +45,7 @@
 
 /// How a request stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum QuarantineStatus {
     /// Nothing was decided about it, or the verdict was lifted.
     Free,
     /// It is not to be sent to any server.
@@ -60,13 +60,13 @@
     /// It had been suspected.
     Suspicion,
     /// It had been quarantined; this verdict lifts that.
-    Lifted(Verdict),
+    Lifted(QuarantineEntry),
 }
 
 /// The verdicts that a node knows, and the requests that are suspected.
 #[derive(Debug, Default)]
 pub struct Quarantine {
-    verdicts: HashMap<Fingerprint, Verdict>,
+    verdicts: HashMap<Fingerprint, QuarantineEntry>,
     /// Requests whose good end has to be told, and since when.
     watched: HashMap<Fingerprint, (RequestKey, Instant)>,
     /// Requests that wait for a verdict; each of them is watched.
@@ -82,17 +82,17 @@
     }
 
     /// How a request stands.
-    pub fn standing(&self, request: Fingerprint, now: WallTime) -> Standing {
+    pub fn status(&self, request: Fingerprint, now: WallTime) -> QuarantineStatus {
         match self.verdicts.get(&request) {
-            Some(verdict) if verdict.lifted => Standing::Free,
-            Some(verdict) if now < verdict.until => Standing::Quarantined,
-            Some(_) => Standing::OnProbation,
-            None => Standing::Free,
+            Some(verdict) if verdict.lifted => QuarantineStatus::Free,
+            Some(verdict) if now < verdict.until => QuarantineStatus::Quarantined,
+            Some(_) => QuarantineStatus::OnProbation,
+            None => QuarantineStatus::Free,
         }
     }
 
     /// Time for which a request is still not to be sent; `None` if it may be.
-    pub fn held_for(&self, request: Fingerprint, now: WallTime) -> Option<Duration> {
+    pub fn quarantine_remaining(&self, request: Fingerprint, now: WallTime) -> Option<Duration> {
         let verdict = self.verdicts.get(&request).filter(|verdict| !verdict.lifted)?;
         Some(verdict.until.left_at(now)).filter(|left| !left.is_zero())
     }
@@ -117,25 +117,25 @@
     }
 
     /// Time for which a request waits for a verdict; `None` if it doesn't.
-    pub fn weighed_for(&self, request: Fingerprint, now: Instant) -> Option<Duration> {
+    pub fn hold_remaining(&self, request: Fingerprint, now: Instant) -> Option<Duration> {
         self.holds.left(request, now)
     }
 
     /// Quarantines a request under which these servers ended.
-    pub fn sentence(&mut self, request: RequestKey, mut servers: Vec<ServerKey>, now: WallTime) -> Verdict {
+    pub fn impose(&mut self, request: RequestKey, mut servers: Vec<ServerKey>, now: WallTime) -> QuarantineEntry {
         let before = self.verdicts.get(&request.fingerprint).filter(|verdict| !verdict.lifted);
         let offences = before.map_or(0, |verdict| verdict.offences) + 1;
         let factor = QUARANTINE_FACTOR.checked_pow(offences - 1).unwrap_or(u32::MAX);
         let length = FIRST_QUARANTINE.saturating_mul(factor).min(LONGEST_QUARANTINE);
         servers.truncate(NAMED_SERVERS);
         let changed_at = self.after_known(request.fingerprint, now);
-        let verdict = Verdict { request, changed_at, until: now + length, offences, lifted: false, servers };
+        let verdict = QuarantineEntry { request, changed_at, until: now + length, offences, lifted: false, servers };
         self.merge(verdict.clone(), now);
         verdict
     }
 
     /// Takes a verdict of another node or the store over if it is news.
-    pub fn merge(&mut self, mut verdict: Verdict, now: WallTime) -> bool {
+    pub fn merge(&mut self, mut verdict: QuarantineEntry, now: WallTime) -> bool {
         let key = verdict.request.fingerprint;
         if !is_remembered(&verdict, now) {
             return false;
@@ -144,7 +144,7 @@
             return false;
         }
         verdict.servers.truncate(NAMED_SERVERS);
-        if self.verdicts.len() >= VERDICT_LIMIT && !self.verdicts.contains_key(&key) {
+        if self.verdicts.len() >= QUARANTINE_LIMIT && !self.verdicts.contains_key(&key) {
             self.prune(now);
         }
         let shape = verdict.request.shape;
@@ -155,7 +155,7 @@
     }
 
     /// An operator lets a request go; gives back the verdict that says so.
-    pub fn lift(&mut self, request: Fingerprint, now: WallTime) -> Option<Verdict> {
+    pub fn lift(&mut self, request: Fingerprint, now: WallTime) -> Option<QuarantineEntry> {
         let changed_at = self.after_known(request, now);
         let verdict = self.verdicts.get_mut(&request).filter(|verdict| !verdict.lifted)?;
         verdict.lifted = true;
@@ -202,12 +202,12 @@
     }
 
     /// All verdicts that are to be remembered.
-    pub fn verdicts(&self, now: WallTime) -> impl Iterator<Item = &Verdict> {
+    pub fn verdicts(&self, now: WallTime) -> impl Iterator<Item = &QuarantineEntry> {
         self.verdicts.values().filter(move |verdict| is_remembered(verdict, now))
     }
 
     /// One verdict.
-    pub fn verdict(&self, request: Fingerprint) -> Option<&Verdict> {
+    pub fn verdict(&self, request: Fingerprint) -> Option<&QuarantineEntry> {
         self.verdicts.get(&request)
     }
 
@@ -228,7 +228,7 @@
         let over: Vec<Fingerprint> =
             self.verdicts.values().filter(|verdict| !is_remembered(verdict, now)).map(key_of).collect();
         over.into_iter().for_each(|key| self.drop_verdict(key));
-        if self.verdicts.len() >= VERDICT_LIMIT {
+        if self.verdicts.len() >= QUARANTINE_LIMIT {
             let first = self.verdicts.values().min_by_key(|verdict| (!verdict.lifted, verdict.until)).map(key_of);
             first.into_iter().for_each(|key| self.drop_verdict(key));
         }
@@ -266,10 +266,10 @@
     }
 }
 
-fn is_remembered(verdict: &Verdict, now: WallTime) -> bool {
-    now <= verdict.until + REMEMBERED
+fn is_remembered(verdict: &QuarantineEntry, now: WallTime) -> bool {
+    now <= verdict.until + QUARANTINE_RETENTION
 }
 
-fn key_of(verdict: &Verdict) -> Fingerprint {
+fn key_of(verdict: &QuarantineEntry) -> Fingerprint {
     verdict.request.fingerprint
 }
--- a/crates/core/src/record_source.rs
+++ b/crates/core/src/record_source.rs
@@ -18,7 +18,7 @@
 //! Invariant: while the source is an upstream, what the node believes is no
 //! older than [`AGE_LIMIT`] and the time of two polls.
 
-use crate::retry::doubled_pause;
+use crate::retry::exponential_backoff;
 use crate::time::Instant;
 use std::time::Duration;
 
@@ -168,7 +168,7 @@
             self.turn = (self.turn + 1) % self.upstreams.max(1);
             self.failures = self.failures.saturating_add(1);
             let rounds = self.failures / self.upstreams.max(1) as u32;
-            return doubled_pause(START_PAUSE, LONGEST_START_PAUSE, rounds);
+            return exponential_backoff(START_PAUSE, LONGEST_START_PAUSE, rounds);
         }
         let held = self.poll_wait() == PollCondition::Reliable && state.complete;
         if held {
@@ -221,6 +221,6 @@
             return Duration::ZERO;
         }
         let rounds = self.silences.saturating_sub(self.upstreams as u32);
-        doubled_pause(FIRST_PAUSE, LONGEST_PAUSE, rounds.saturating_sub(1))
+        exponential_backoff(FIRST_PAUSE, LONGEST_PAUSE, rounds.saturating_sub(1))
     }
 }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -15,7 +15,7 @@
 
 /// The pause after so many failures in a row before this one: `first`, doubled
 /// each time, `longest` at most.
-pub fn doubled_pause(first: Duration, longest: Duration, failures: u32) -> Duration {
+pub fn exponential_backoff(first: Duration, longest: Duration, failures: u32) -> Duration {
     first.saturating_mul(2_u32.pow(failures.min(MOST_DOUBLINGS))).min(longest)
 }
 
--- a/crates/core/src/routes.rs
+++ b/crates/core/src/routes.rs
@@ -235,7 +235,7 @@
 /// Divides a route's requests among its services by their weights, evenly at
 /// any moment (smooth weighted round robin).
 #[derive(Debug, Default)]
-pub struct WeightedTurns {
+pub struct WeightedRoundRobin {
     routes: HashMap<Arc<str>, Vec<Turn>>,
 }
 
@@ -245,7 +245,7 @@
     credit: f64,
 }
 
-impl WeightedTurns {
+impl WeightedRoundRobin {
     /// The service that takes the next request of the route.
     pub fn next(&mut self, route: &Route) -> Option<Arc<str>> {
         if let [only] = route.targets.as_slice() {
--- a/crates/core/src/second_attempt.rs
+++ b/crates/core/src/second_attempt.rs
@@ -16,17 +16,17 @@
 use std::time::Duration;
 
 /// Answered first attempts that pay for a second one.
-pub const ANSWERS_FOR_ONE: u32 = 20;
+pub const ANSWERS_PER_SECOND_ATTEMPT: u32 = 20;
 /// Most second attempts that are saved up: about as many as a server that falls silent holds
 /// of one node. What a node saves in calm hours must not meet its servers at once.
-pub const SAVED_LIMIT: u32 = 8;
+pub const MAX_SAVED_ATTEMPTS: u32 = 8;
 /// Share of the answers that take less time, in parts of the expected, than an overdue one:
 /// those beyond it are as many as second attempts are paid for.
-const LATE_QUANTILE: f64 = 1.0 - 1.0 / ANSWERS_FOR_ONE as f64;
+const LATE_QUANTILE: f64 = 1.0 - 1.0 / ANSWERS_PER_SECOND_ATTEMPT as f64;
 /// What the time at a second server is taken to be.
 const USUAL_QUANTILE: f64 = 0.5;
 /// Answers of a route before the late quantile is known: one in so many is beyond it.
-const LEARNED_ANSWERS: u32 = ANSWERS_FOR_ONE;
+const LEARNED_ANSWERS: u32 = ANSWERS_PER_SECOND_ATTEMPT;
 /// Least part of an answer's news in an estimate. The first ones count by their number.
 const LEAST_STEP: f64 = 0.05;
 /// Shortest expected time: less than this is not told apart.
@@ -99,8 +99,8 @@
     }
 
     /// Whether a second attempt is paid for.
-    pub fn is_paid_for(&self) -> bool {
-        self.saved_answers >= ANSWERS_FOR_ONE
+    pub fn has_budget(&self) -> bool {
+        self.saved_answers >= ANSWERS_PER_SECOND_ATTEMPT
     }
 
     /// Whether a second attempt begins now: it is paid for and can bring its first piece
@@ -108,16 +108,16 @@
     pub fn begin(&mut self, route: RouteKey, second: &AttemptTime) -> bool {
         let Some(scatter) = self.known(route) else { return false };
         let takes = second.expected.max(LEAST_EXPECTED).mul_f64(scatter.usual.exp());
-        if !self.is_paid_for() || second.spent + takes > second.latency_target {
+        if !self.has_budget() || second.spent + takes > second.latency_target {
             return false;
         }
-        self.saved_answers -= ANSWERS_FOR_ONE;
+        self.saved_answers -= ANSWERS_PER_SECOND_ATTEMPT;
         true
     }
 
     /// A first attempt brought its first piece after `time`.
     pub fn note_answered(&mut self, route: RouteKey, expected: Duration, time: Duration) {
-        self.saved_answers = (self.saved_answers + 1).min(ANSWERS_FOR_ONE * SAVED_LIMIT);
+        self.saved_answers = (self.saved_answers + 1).min(ANSWERS_PER_SECOND_ATTEMPT * MAX_SAVED_ATTEMPTS);
         self.note(route, expected, time);
     }
 
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -139,15 +139,15 @@
     let (entry, _) = queue.add(at(2000), Claim { timely_until: at(2180), ..late });
     assert!(matches!(entry, Entry::Queued(_)), "it can be in time and goes before the others: {entry:?}");
     let (entry, _) = queue.add(at(2000), Claim { id: ClaimId { node: NODE, number: 1001 }, ..late });
-    let Entry::Refused { retry_after, standing } = entry else { panic!("{entry:?}") };
-    assert_eq!(standing.ahead, 401);
+    let Entry::Refused { retry_after, position } = entry else { panic!("{entry:?}") };
+    assert_eq!(position.ahead, 401);
     assert!((3800..=4300).contains(&(retry_after.as_millis() as u64)), "{retry_after:?}");
     // Whoever is refused next finds room a slot later.
     let (entry, _) = queue.add(at(2000), Claim { id: ClaimId { node: NODE, number: 1002 }, ..late });
     assert!(matches!(entry, Entry::Refused { retry_after: next, .. } if next > retry_after), "{entry:?}");
     // One of another tenant is reached.
     let other = Claim { tenant: TenantKey(2), ..late };
-    assert!(matches!(queue.add(at(2000), other).0, Entry::Queued(standing) if standing.ahead <= 2));
+    assert!(matches!(queue.add(at(2000), other).0, Entry::Queued(position) if position.ahead <= 2));
 }
 
 #[test]
--- a/crates/core/tests/attempts.rs
+++ b/crates/core/tests/attempts.rs
@@ -56,10 +56,10 @@
 #[test]
 fn an_attempt_that_is_withdrawn_is_one_of_those_that_a_route_allows() {
     let mut attempts = Attempts::new(RequestKind::Idempotent, 2);
-    assert!(attempts.may_repeat() && !attempts.may_repeat_beside(1));
+    assert!(attempts.may_repeat() && !attempts.may_repeat_with_others(1));
     attempts.note_withdrawn();
     assert!(!attempts.may_repeat());
-    assert_eq!(attempts.verdict(ResultCode::CrowdedOut), ResultCode::OutcomeUnknown);
+    assert_eq!(attempts.result_code(ResultCode::CrowdedOut), ResultCode::OutcomeUnknown);
     assert_eq!(attempts.after(AttemptFailure::Lost, TIME), NextStep::GiveUp(ResultCode::OutcomeUnknown));
     let mut attempts = Attempts::new(RESUMABLE, 3);
     attempts.note_withdrawn();
@@ -93,7 +93,7 @@
                 NextStep::TryAgain => prop_assert!(may_have_run < limit.max(1), "the route's limit holds"),
                 NextStep::GiveUp(code) => {
                     prop_assert_eq!(matches!(code.http_status(), 429 | 503), may_have_run == 0);
-                    prop_assert_eq!(attempts.verdict(ResultCode::WaitTooLong).http_status() == 429, may_have_run == 0);
+                    prop_assert_eq!(attempts.result_code(ResultCode::WaitTooLong).http_status() == 429, may_have_run == 0);
                     break;
                 }
             }
--- a/crates/core/tests/circuit_breaker.rs
+++ b/crates/core/tests/circuit_breaker.rs
@@ -1,6 +1,6 @@
 //! Calls to a record store that is away, over all nodes.
 
-use latchwheel_core::circuit_breaker::{CircuitBreaker, ProbePolicy, FAILURE_TIME, LONGEST_SHARED_PAUSE};
+use latchwheel_core::circuit_breaker::{CircuitBreaker, ProbePolicy, FAILURE_TIME, MAX_SHARED_PAUSE};
 use latchwheel_core::time::Instant;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -21,7 +21,7 @@
     let mut random = StdRng::seed_from_u64(seed);
     let mut breakers: Vec<CircuitBreaker> = (0..nodes).map(|_| CircuitBreaker::new(policy(nodes))).collect();
     for breaker in &mut breakers {
-        breaker.note_told_away(START, random.random());
+        breaker.note_upstream_unreachable(START, random.random());
     }
     let mut calls = 0;
     let mut now = START;
@@ -47,7 +47,7 @@
         }
         // Beyond it every node still finds out by itself within its bound.
         let calls = calls_in_outage(seed, 300, 10);
-        let each = 10.0 / LONGEST_SHARED_PAUSE.as_secs_f64() * 1.3 + 1.0;
+        let each = 10.0 / MAX_SHARED_PAUSE.as_secs_f64() * 1.3 + 1.0;
         assert!(calls as f64 <= 300.0 * each, "{calls} calls of 300 nodes, seed {seed}");
     }
 }
@@ -58,14 +58,14 @@
     let mut random = StdRng::seed_from_u64(7);
     for _ in 0..200 {
         let mut breaker = CircuitBreaker::new(policy(12_000));
-        breaker.note_told_away(START, random.random());
+        breaker.note_upstream_unreachable(START, random.random());
         let mut last = START;
         let mut now = START;
         while now.since(START) < Duration::from_secs(20) {
             if breaker.may_call(now, random.random()) {
                 last = now;
             }
-            assert!(now.since(last) <= LONGEST_SHARED_PAUSE.mul_f64(1.25) + WANTS_EVERY);
+            assert!(now.since(last) <= MAX_SHARED_PAUSE.mul_f64(1.25) + WANTS_EVERY);
             now = now + WANTS_EVERY;
         }
     }
@@ -102,14 +102,14 @@
 #[test]
 fn a_node_that_is_turned_away_goes_on_asking() {
     let mut breaker = CircuitBreaker::new(policy(300));
-    breaker.note_told_away(START, 0.9);
+    breaker.note_upstream_unreachable(START, 0.9);
     assert!(!breaker.may_call(START, 0.5));
-    breaker.note_told_answering(START);
+    breaker.note_upstream_answering(START);
     assert!(breaker.may_call(START, 0.5), "the news is followed by a call");
     let mut now = START;
     let mut calls = 0;
     while now.since(START) < Duration::from_secs(10) {
-        breaker.note_told_answering(now);
+        breaker.note_upstream_answering(now);
         if breaker.may_call(now, 0.5) {
             breaker.note_failure(now, now, 0.5);
             calls += 1;
--- a/crates/core/tests/dispatch.rs
+++ b/crates/core/tests/dispatch.rs
@@ -3,7 +3,7 @@
 use latchwheel_core::directory::ServerRecord;
 use latchwheel_core::dispatch::{
     holders_of, Choice, Dispatcher, Ending, NodeShares, Placement, PlacementQuery, Prompt, PromptPart, ServerKey,
-    ServerLoad, ServerShare, REPORT_LIFE,
+    ServerLoad, ServerShare, REPORT_TTL,
 };
 use latchwheel_core::identity::NodeId;
 use latchwheel_core::time::Instant;
@@ -122,7 +122,7 @@
     let share = ServerShare { server: ServerKey::of("a"), requests: 4, ..ServerShare::default() };
     dispatcher.note_peer(at(0), NodeId(1), 1, told(vec![share]));
     assert_eq!(dispatcher.free_slots(at(1), "a", 0.0), Some(0.0));
-    assert_eq!(dispatcher.free_slots(at(0) + REPORT_LIFE, "a", 0.0), Some(4.0));
+    assert_eq!(dispatcher.free_slots(at(0) + REPORT_TTL, "a", 0.0), Some(4.0));
 }
 
 #[test]
@@ -268,13 +268,13 @@
 fn a_refusal_presses_all_nodes_for_a_while() {
     let mut front = dispatcher(&["a"]);
     let mut worker = dispatcher(&["a"]);
-    assert!(!worker.is_pressed(at(0), "s"));
+    assert!(!worker.is_overloaded(at(0), "s"));
     front.note_refused(at(0), &"s".into());
     worker.note_peer(at(100), NodeId(1), 1, front.shares(at(100)));
-    assert!(worker.is_pressed(at(200), "s") && front.is_pressed(at(200), "s"));
-    assert!(!worker.is_pressed(at(200), "t"));
+    assert!(worker.is_overloaded(at(200), "s") && front.is_overloaded(at(200), "s"));
+    assert!(!worker.is_overloaded(at(200), "t"));
     worker.note_peer(at(1_100), NodeId(1), 2, front.shares(at(1_100)));
-    assert!(!worker.is_pressed(at(1_200), "s") && !front.is_pressed(at(1_200), "s"));
+    assert!(!worker.is_overloaded(at(1_200), "s") && !front.is_overloaded(at(1_200), "s"));
 }
 
 /// A sum over all nodes counts this one's own requests too; they count once,
@@ -293,7 +293,7 @@
     let sum = told(vec![share(4)]).into_parts(10).remove(0);
     dispatcher.note_sum(at(20), sum, &own);
     assert_eq!(dispatcher.free_slots(at(20), "a", 0.0), Some(0.0));
-    let late = at(20) + REPORT_LIFE;
+    let late = at(20) + REPORT_TTL;
     assert_eq!(dispatcher.free_slots(late, "a", 0.0), Some(3.0), "only the own request is left");
 }
 
@@ -301,11 +301,11 @@
 fn parts_of_a_sum_hold_every_server_once() {
     let servers =
         (0..150).map(|number| ServerShare { server: ServerKey(number * 977), requests: 1, ..ServerShare::default() });
-    let parts =
-        NodeShares { servers: servers.collect(), pressed: vec![5], waiting: 3, ..NodeShares::default() }.into_parts(60);
+    let parts = NodeShares { servers: servers.collect(), overloaded: vec![5], waiting: 3, ..NodeShares::default() }
+        .into_parts(60);
     assert_eq!(parts.len(), 3);
     assert_eq!(parts.iter().map(|part| part.shares.servers.len()).sum::<usize>(), 150);
-    assert!(parts.iter().all(|part| part.shares.pressed == [5] && part.shares.servers.len() < 75));
+    assert!(parts.iter().all(|part| part.shares.overloaded == [5] && part.shares.servers.len() < 75));
 }
 
 /// Many nodes that hear the same of all servers must not all choose the one
--- a/crates/core/tests/give_way.rs
+++ b/crates/core/tests/give_way.rs
@@ -1,6 +1,6 @@
 //! Which run of a batch item gives way to an online request.
 
-use latchwheel_core::give_way::{first_to_give_way, RunOutlook};
+use latchwheel_core::give_way::{first_to_preempt, RunOutlook};
 use latchwheel_core::time::Instant;
 use std::time::Duration;
 
@@ -11,39 +11,42 @@
 /// A run that goes on for two seconds.
 fn run(number: u64) -> RunOutlook {
     let expected_end = now() + Duration::from_secs(2);
-    RunOutlook { overdue: false, due_ms: 18_000, expected_end, cut_before: false, number }
+    RunOutlook { overdue: false, due_ms: 18_000, expected_end, preempted_before: false, number }
 }
 
 #[test]
 fn of_equal_runs_the_latest_gives_way() {
-    assert_eq!(first_to_give_way(now(), &[run(1), run(3), run(2)]), Some(1));
-    assert_eq!(first_to_give_way(now(), &[]), None);
+    assert_eq!(first_to_preempt(now(), &[run(1), run(3), run(2)]), Some(1));
+    assert_eq!(first_to_preempt(now(), &[]), None);
 }
 
 #[test]
 fn a_run_close_to_its_end_is_spared_while_another_can_go() {
     let ending = RunOutlook { expected_end: now() + Duration::from_millis(100), overdue: true, ..run(9) };
-    assert_eq!(first_to_give_way(now(), &[run(1), ending]), Some(0));
-    assert_eq!(first_to_give_way(now(), &[ending]), Some(0));
+    assert_eq!(first_to_preempt(now(), &[run(1), ending]), Some(0));
+    assert_eq!(first_to_preempt(now(), &[ending]), Some(0));
 }
 
 #[test]
 fn an_overdue_run_goes_before_those_that_can_be_in_time() {
-    let overdue = RunOutlook { overdue: true, cut_before: true, due_ms: 1, ..run(1) };
-    assert_eq!(first_to_give_way(now(), &[run(2), overdue, run(3)]), Some(1));
+    let overdue = RunOutlook { overdue: true, preempted_before: true, due_ms: 1, ..run(1) };
+    assert_eq!(first_to_preempt(now(), &[run(2), overdue, run(3)]), Some(1));
 }
 
 #[test]
 fn an_item_is_cut_a_second_time_only_where_no_other_can_go() {
-    let cut_before = RunOutlook { cut_before: true, due_ms: 30_000, ..run(9) };
-    assert_eq!(first_to_give_way(now(), &[run(1), cut_before]), Some(0));
-    assert_eq!(first_to_give_way(now(), &[cut_before, RunOutlook { due_ms: 31_000, ..cut_before }]), Some(1));
+    let preempted_before = RunOutlook { preempted_before: true, due_ms: 30_000, ..run(9) };
+    assert_eq!(first_to_preempt(now(), &[run(1), preempted_before]), Some(0));
+    assert_eq!(
+        first_to_preempt(now(), &[preempted_before, RunOutlook { due_ms: 31_000, ..preempted_before }]),
+        Some(1)
+    );
 }
 
 #[test]
 fn of_others_the_one_that_is_due_last_gives_way() {
     let due_last = RunOutlook { due_ms: 20_000, ..run(1) };
-    assert_eq!(first_to_give_way(now(), &[run(5), due_last, run(7)]), Some(1));
+    assert_eq!(first_to_preempt(now(), &[run(5), due_last, run(7)]), Some(1));
 }
 
 /// Peaks take half of all slots again and again: few items give way twice, and those that
@@ -54,9 +57,9 @@
     let mut cuts = vec![0_u32; RUNS as usize];
     for _ in 0..2 {
         let mut running: Vec<RunOutlook> =
-            (0..RUNS).map(|number| RunOutlook { cut_before: cuts[number as usize] > 0, ..run(number) }).collect();
+            (0..RUNS).map(|number| RunOutlook { preempted_before: cuts[number as usize] > 0, ..run(number) }).collect();
         for _ in 0..RUNS / 2 {
-            let first = first_to_give_way(now(), &running).unwrap();
+            let first = first_to_preempt(now(), &running).unwrap();
             cuts[running.remove(first).number as usize] += 1;
         }
     }
--- a/crates/core/tests/keepers.rs
+++ b/crates/core/tests/keepers.rs
@@ -85,7 +85,7 @@
 fn a_removed_server_leaves_the_others_advised() {
     for removed in 0..3 {
         let mut keeper = keeper(3, 2);
-        keeper.set_left(&record(removed, 2).id);
+        keeper.set_draining(&record(removed, 2).id);
         let advice = keeper.reserve_server(at(0), &ask(&Prompt::default()));
         assert!(matches!(advice, TrackerReply::Send { .. }), "{removed}: {advice:?}");
     }
--- a/crates/core/tests/leasing.rs
+++ b/crates/core/tests/leasing.rs
@@ -4,7 +4,7 @@
 
 use latchwheel_core::identity::NodeId;
 use latchwheel_core::jobs::{Effect, JobState, StateKey, StateTable};
-use latchwheel_core::leasing::{Asker, Leasing, ABANDONED_REPORT_TIME, LEASE_CALL_TIME, LEASE_LENGTH};
+use latchwheel_core::leasing::{LeaseRequester, Leasing, ABANDONED_REPORT_TIME, LEASE_CALL_TIME, LEASE_LENGTH};
 use latchwheel_core::time::Instant;
 use latchwheel_core::unanswered::AbandonedRequests;
 use latchwheel_protocol::v1::command::Body;
@@ -107,9 +107,9 @@
 // store's disk showed it: the failed items are those that were granted in the delay.
 
 const OTHER: NodeId = NodeId(8);
-const LOST: Asker = Asker { node: HOLDER, request: 11 };
-const NEXT: Asker = Asker { node: HOLDER, request: 12 };
-const OF_OTHER: Asker = Asker { node: OTHER, request: 21 };
+const LOST: LeaseRequester = LeaseRequester { node: HOLDER, request: 11 };
+const NEXT: LeaseRequester = LeaseRequester { node: HOLDER, request: 12 };
+const OF_OTHER: LeaseRequester = LeaseRequester { node: OTHER, request: 21 };
 
 /// A job none of whose items has started.
 fn new_job() -> JobState {
@@ -127,13 +127,13 @@
     leasing
 }
 
-fn commit_start(state: &mut JobState, asker: Asker) {
+fn commit_start(state: &mut JobState, asker: LeaseRequester) {
     let positions = (0..ITEMS).collect();
     let start = StartItems { job: JOB.into(), positions, holder: asker.node.0, request: asker.request };
     state.apply(Command { body: Some(Body::StartItems(start)) });
 }
 
-fn granted(leasing: &mut Leasing, now: Instant, asker: Asker, state: &JobState) -> BTreeSet<u64> {
+fn granted(leasing: &mut Leasing, now: Instant, asker: LeaseRequester, state: &JobState) -> BTreeSet<u64> {
     let grants = leasing.grant(now, asker, "bulk", ITEMS as usize, state);
     grants.into_iter().flat_map(|grant| grant.positions).collect()
 }
--- a/crates/core/tests/limits_and_retries.rs
+++ b/crates/core/tests/limits_and_retries.rs
@@ -5,7 +5,7 @@
 use latchwheel_core::ownership::{assign, OwnedServer, OwnerCandidate};
 use latchwheel_core::placement::{Fence, LoadPacer, OrderLease};
 use latchwheel_core::prefix::{block_hashes, CacheEvent, PrefixIndex};
-use latchwheel_core::retry::{doubled_pause, RetryBudgets};
+use latchwheel_core::retry::{exponential_backoff, RetryBudgets};
 use latchwheel_core::routing::{choose_owner, Affinity, OwnerRoom};
 use latchwheel_core::table::RetryPolicy;
 use latchwheel_core::time::Instant;
@@ -197,7 +197,7 @@
 #[test]
 fn pauses_double_up_to_the_longest() {
     let (first, longest) = (Duration::from_millis(50), Duration::from_millis(800));
-    let pauses: Vec<u128> = (0..7).map(|failures| doubled_pause(first, longest, failures).as_millis()).collect();
+    let pauses: Vec<u128> = (0..7).map(|failures| exponential_backoff(first, longest, failures).as_millis()).collect();
     assert_eq!(pauses, [50, 100, 200, 400, 800, 800, 800]);
-    assert_eq!(doubled_pause(first, longest, u32::MAX), longest);
+    assert_eq!(exponential_backoff(first, longest, u32::MAX), longest);
 }
--- a/crates/core/tests/many_servers.rs
+++ b/crates/core/tests/many_servers.rs
@@ -50,7 +50,7 @@
         for _ in 0..100 {
             let number = random.random_range(0..40);
             if present.remove(&number).is_some() {
-                by_changes.set_left(&record(number).id);
+                by_changes.set_draining(&record(number).id);
             } else {
                 by_changes.set_one_ready(&record(number));
                 present.insert(number, record(number));
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -3,7 +3,9 @@
 
 use latchwheel_core::dispatch::ServerKey;
 use latchwheel_core::fingerprint::{Fingerprint, RequestContent, RequestKey, RequestShape};
-use latchwheel_core::quarantine::{CrashEvidence, Decisions, Quarantine, Standing, Verdict, WatchEnd, VERDICT_LIMIT};
+use latchwheel_core::quarantine::{
+    CrashEvidence, Decisions, Quarantine, QuarantineEntry, QuarantineStatus, WatchEnd, QUARANTINE_LIMIT,
+};
 use latchwheel_core::time::{Instant, WallTime};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -24,8 +26,8 @@
     Instant::from_micros(milliseconds * 1000)
 }
 
-fn free(_: Fingerprint) -> Standing {
-    Standing::Free
+fn free(_: Fingerprint) -> QuarantineStatus {
+    QuarantineStatus::Free
 }
 
 /// Servers that ended, each with the requests that it worked on.
@@ -65,10 +67,10 @@
     let mut evidence = evidence(&[&[1, 2], &[1, 2], &[1], &[1, 3], &[2]]);
     assert_eq!(quarantined(&evidence.decide(LATER, free)), [1]);
     // Later ends that the cause explains don't count for others either.
-    let standing = |key: Fingerprint| if key.0 == 1 { Standing::Quarantined } else { Standing::Free };
-    evidence.note_crash(at(10), ServerKey(90), &[request(2), request(1)], 0, standing);
-    evidence.note_crash(at(10), ServerKey(91), &[request(2)], 0, standing);
-    assert_eq!(quarantined(&evidence.decide(LATER, standing)), NONE);
+    let status = |key: Fingerprint| if key.0 == 1 { QuarantineStatus::Quarantined } else { QuarantineStatus::Free };
+    evidence.note_crash(at(10), ServerKey(90), &[request(2), request(1)], 0, status);
+    evidence.note_crash(at(10), ServerKey(91), &[request(2)], 0, status);
+    assert_eq!(quarantined(&evidence.decide(LATER, status)), NONE);
 }
 
 #[test]
@@ -181,25 +183,25 @@
 #[test]
 fn a_quarantine_ends_and_comes_back_longer() {
     let mut quarantine = Quarantine::default();
-    let first = quarantine.sentence(request(1), vec![ServerKey(1)], NOW);
-    assert_eq!(quarantine.standing(request(1).fingerprint, NOW), Standing::Quarantined);
-    assert_eq!(quarantine.held_for(request(1).fingerprint, NOW), Some(first.until.left_at(NOW)));
-    assert_eq!(quarantine.held_for(request(2).fingerprint, NOW), None);
+    let first = quarantine.impose(request(1), vec![ServerKey(1)], NOW);
+    assert_eq!(quarantine.status(request(1).fingerprint, NOW), QuarantineStatus::Quarantined);
+    assert_eq!(quarantine.quarantine_remaining(request(1).fingerprint, NOW), Some(first.until.left_at(NOW)));
+    assert_eq!(quarantine.quarantine_remaining(request(2).fingerprint, NOW), None);
     let later = first.until;
-    assert_eq!(quarantine.standing(request(1).fingerprint, later), Standing::OnProbation);
-    assert_eq!(quarantine.held_for(request(1).fingerprint, later), None);
+    assert_eq!(quarantine.status(request(1).fingerprint, later), QuarantineStatus::OnProbation);
+    assert_eq!(quarantine.quarantine_remaining(request(1).fingerprint, later), None);
     // One more end is enough then.
     let mut evidence = evidence(&[&[1, 2]]);
-    let decisions = evidence.decide(LATER, |key| quarantine.standing(key, later));
+    let decisions = evidence.decide(LATER, |key| quarantine.status(key, later));
     assert_eq!(quarantined(&decisions), [1]);
-    let second = quarantine.sentence(request(1), vec![ServerKey(0)], later);
+    let second = quarantine.impose(request(1), vec![ServerKey(0)], later);
     assert_eq!(second.until.left_at(later), first.until.left_at(NOW) * 6);
 }
 
 #[test]
 fn a_good_end_lifts_a_verdict_everywhere() {
     let mut own = Quarantine::default();
-    let verdict = own.sentence(request(1), Vec::new(), NOW);
+    let verdict = own.impose(request(1), Vec::new(), NOW);
     let mut other = Quarantine::default();
     assert!(other.merge(verdict.clone(), NOW));
     assert!(!other.merge(verdict.clone(), NOW), "told twice");
@@ -207,7 +209,7 @@
     let Some(WatchEnd::Lifted(lifted)) = own.note_success(request(1).fingerprint, NOW) else { panic!("not lifted") };
     assert_ne!(own.digest(NOW), other.digest(NOW));
     assert!(other.merge(lifted, NOW));
-    assert_eq!(other.standing(request(1).fingerprint, NOW), Standing::Free);
+    assert_eq!(other.status(request(1).fingerprint, NOW), QuarantineStatus::Free);
     // What was decided before comes late.
     assert!(!other.merge(verdict, NOW));
     assert_eq!(own.digest(NOW), other.digest(NOW));
@@ -249,17 +251,17 @@
 #[test]
 fn verdicts_are_bounded() {
     let mut quarantine = Quarantine::default();
-    for number in 0..VERDICT_LIMIT as u64 * 3 {
+    for number in 0..QUARANTINE_LIMIT as u64 * 3 {
         let now = NOW + Duration::from_millis(number);
-        quarantine.sentence(request(number), Vec::new(), now);
+        quarantine.impose(request(number), Vec::new(), now);
         quarantine.watch(request(number + 1_000_000), at(number));
     }
-    assert_eq!(quarantine.verdicts(NOW).count(), VERDICT_LIMIT);
-    let newest = request(VERDICT_LIMIT as u64 * 3 - 1).fingerprint;
-    assert_eq!(quarantine.standing(newest, NOW + Duration::from_secs(4)), Standing::Quarantined);
+    assert_eq!(quarantine.verdicts(NOW).count(), QUARANTINE_LIMIT);
+    let newest = request(QUARANTINE_LIMIT as u64 * 3 - 1).fingerprint;
+    assert_eq!(quarantine.status(newest, NOW + Duration::from_secs(4)), QuarantineStatus::Quarantined);
     // What is over is forgotten in the end, and nodes don't differ by it.
     assert_eq!(quarantine.digest(NOW + HOUR * 48), 0);
-    let late = Verdict { changed_at: NOW, until: NOW, ..quarantine.verdict(newest).unwrap().clone() };
+    let late = QuarantineEntry { changed_at: NOW, until: NOW, ..quarantine.verdict(newest).unwrap().clone() };
     assert!(!Quarantine::default().merge(late, NOW + HOUR * 48));
 }
 
@@ -405,8 +407,8 @@
         self.reports = later;
         let wall = self.wall();
         for (_, identity, number) in due {
-            let standing = |key| self.quarantine.standing(key, wall);
-            self.evidence.note_crash(at(self.now), ServerKey(identity), &[request(number)], 0, standing);
+            let status = |key| self.quarantine.status(key, wall);
+            self.evidence.note_crash(at(self.now), ServerKey(identity), &[request(number)], 0, status);
             self.hold(number);
         }
     }
@@ -420,8 +422,8 @@
         }
     }
 
-    fn weighed_for(&self, number: u64) -> Option<u64> {
-        let left = self.quarantine.weighed_for(request(number).fingerprint, at(self.now))?;
+    fn hold_remaining(&self, number: u64) -> Option<u64> {
+        let left = self.quarantine.hold_remaining(request(number).fingerprint, at(self.now))?;
         Some(left.as_millis() as u64)
     }
 
@@ -433,11 +435,11 @@
         let mut due: Vec<u64> = self.next.iter().filter(|(_, at)| **at <= self.now).map(|(key, _)| *key).collect();
         due.sort_unstable();
         for number in due {
-            if self.quarantine.standing(request(number).fingerprint, self.wall()) == Standing::Quarantined {
+            if self.quarantine.status(request(number).fingerprint, self.wall()) == QuarantineStatus::Quarantined {
                 self.next.insert(number, self.now + 500);
                 continue;
             }
-            if let Some(left) = self.weighed_for(number) {
+            if let Some(left) = self.hold_remaining(number) {
                 self.next.insert(number, self.now + left);
                 continue;
             }
@@ -496,10 +498,10 @@
             self.counts.entry(run.request).or_default().insert(identity);
             let delay = self.random.random_range(0..REPORT_DELAY);
             self.reports.push((self.now + delay, identity, run.request));
-            let quarantined = self.quarantine.standing(request(run.request).fingerprint, self.wall());
+            let quarantined = self.quarantine.status(request(run.request).fingerprint, self.wall());
             // Half of the kinds of requests may be repeated at once.
             let goes_on = run.request.is_multiple_of(2) && run.attempts + 1 < MOST_ATTEMPTS;
-            let may_run = quarantined != Standing::Quarantined && self.weighed_for(run.request).is_none();
+            let may_run = quarantined != QuarantineStatus::Quarantined && self.hold_remaining(run.request).is_none();
             match best.filter(|_| goes_on && may_run) {
                 Some(server) => self.start(run.request, server, run.attempts + 1),
                 None => {
@@ -515,20 +517,21 @@
             Way::Weighed | Way::WeighedWithoutWaiting
                 if self.evidence.decide_at().is_some_and(|due| due <= at(self.now)) =>
             {
-                self.evidence.decide(at(self.now), |key| self.quarantine.standing(key, wall)).quarantine
+                self.evidence.decide(at(self.now), |key| self.quarantine.status(key, wall)).quarantine
             }
             Way::Weighed | Way::WeighedWithoutWaiting => Vec::new(),
             Way::CountsAlone => {
                 let over = self.counts.iter().filter(|(_, servers)| servers.len() >= 3);
                 let over = over.map(|(number, _)| (request(*number), Vec::new()));
-                over.filter(|(key, _)| self.quarantine.standing(key.fingerprint, wall) == Standing::Free).collect()
+                over.filter(|(key, _)| self.quarantine.status(key.fingerprint, wall) == QuarantineStatus::Free)
+                    .collect()
             }
         };
         for (key, servers) in sentenced {
             if !Self::is_cause(key.fingerprint.0 as u64) {
                 self.wronged.insert(key.fingerprint.0 as u64);
             }
-            self.quarantine.sentence(key, servers, wall);
+            self.quarantine.impose(key, servers, wall);
         }
     }
 }
--- a/crates/core/tests/quarantine_holds.rs
+++ b/crates/core/tests/quarantine_holds.rs
@@ -2,7 +2,7 @@
 
 use latchwheel_core::dispatch::ServerKey;
 use latchwheel_core::fingerprint::{Fingerprint, RequestKey, RequestShape};
-use latchwheel_core::quarantine::{CrashEvidence, Quarantine, Standing, HOLD_LIMIT, HOLD_TIME, RUN_TIME};
+use latchwheel_core::quarantine::{CrashEvidence, Quarantine, QuarantineStatus, HOLD_LIMIT, HOLD_TIME, RUN_TIME};
 use latchwheel_core::time::{Instant, WallTime};
 
 const NOW: WallTime = WallTime(1_000_000_000);
@@ -23,10 +23,10 @@
     let key = request(1).fingerprint;
     for (server, milliseconds) in [0, 19, 212].into_iter().enumerate() {
         assert_eq!(evidence.ends_to_hold(key), None);
-        evidence.note_crash(at(milliseconds), ServerKey(server as u32), &[request(1)], 0, |_| Standing::Free);
+        evidence.note_crash(at(milliseconds), ServerKey(server as u32), &[request(1)], 0, |_| QuarantineStatus::Free);
     }
     assert_eq!(evidence.ends_to_hold(key), Some(3));
-    assert!(evidence.decide(at(700), |_| Standing::Free).quarantine.is_empty());
+    assert!(evidence.decide(at(700), |_| QuarantineStatus::Free).quarantine.is_empty());
     evidence.note_success(key);
     assert_eq!(evidence.ends_to_hold(key), None);
 }
@@ -37,11 +37,11 @@
     let key = request(1).fingerprint;
     assert!(quarantine.hold(request(1), 3, at(0)));
     assert!(!quarantine.hold(request(1), 3, at(350)), "told twice");
-    assert_eq!(quarantine.weighed_for(key, at(0)), Some(HOLD_TIME));
-    assert_eq!(quarantine.weighed_for(key, at(0) + HOLD_TIME), None);
+    assert_eq!(quarantine.hold_remaining(key, at(0)), Some(HOLD_TIME));
+    assert_eq!(quarantine.hold_remaining(key, at(0) + HOLD_TIME), None);
     assert!(quarantine.hold(request(1), 4, at(600)), "a further end");
-    assert_eq!(quarantine.weighed_for(key, at(600)), Some(HOLD_TIME));
-    assert_eq!(quarantine.weighed_for(request(2).fingerprint, at(600)), None);
+    assert_eq!(quarantine.hold_remaining(key, at(600)), Some(HOLD_TIME));
+    assert_eq!(quarantine.hold_remaining(request(2).fingerprint, at(600)), None);
 }
 
 #[test]
@@ -53,8 +53,8 @@
     assert!(own.begin_run(key, at(600)));
     other.note_run(request(1), at(601));
     for node in [&own, &other] {
-        assert!(node.weighed_for(key, at(700)).is_some());
-        assert_eq!(node.weighed_for(key, at(601) + RUN_TIME), None);
+        assert!(node.hold_remaining(key, at(700)).is_some());
+        assert_eq!(node.hold_remaining(key, at(601) + RUN_TIME), None);
     }
 }
 
@@ -65,7 +65,7 @@
     quarantine.hold(request(1), 3, at(0));
     assert!(quarantine.concerns(request(1).shape), "its good end is asked for");
     quarantine.note_success(key, NOW);
-    assert_eq!(quarantine.weighed_for(key, at(1)), None);
+    assert_eq!(quarantine.hold_remaining(key, at(1)), None);
     assert!(!quarantine.begin_run(key, at(1)));
 }
 
--- a/crates/core/tests/routes.rs
+++ b/crates/core/tests/routes.rs
@@ -2,7 +2,7 @@
 
 use latchwheel_core::dispatch::RouteKey;
 use latchwheel_core::routes::{
-    ClientLimits, RequestKind, Route, RoutingTable, ServiceDefinition, WeightedService, WeightedTurns,
+    ClientLimits, RequestKind, Route, RoutingTable, ServiceDefinition, WeightedRoundRobin, WeightedService,
 };
 use latchwheel_core::tenants::{RateLimit, Tenant, TenantKey, Tenants};
 use proptest::prelude::*;
@@ -60,7 +60,7 @@
 
 #[test]
 fn weights_changed_by_the_operator_count_at_once() {
-    let mut turns = WeightedTurns::default();
+    let mut turns = WeightedRoundRobin::default();
     let before = route("r", "a.example", "/", &[("s", 90.0), ("t", 10.0)]);
     (0..7).for_each(|_| drop(turns.next(&before)));
     let after = route("r", "a.example", "/", &[("s", 0.0), ("t", 10.0)]);
@@ -75,7 +75,7 @@
         let targets: Vec<(&str, f64)> =
             names.iter().zip(&weights).map(|(name, weight)| (name.as_str(), f64::from(*weight))).collect();
         let route = route("r", "a.example", "/", &targets);
-        let mut turns = WeightedTurns::default();
+        let mut turns = WeightedRoundRobin::default();
         let mut counts: HashMap<Arc<str>, usize> = HashMap::new();
         for _ in 0..requests {
             *counts.entry(turns.next(&route).unwrap()).or_default() += 1;
--- a/crates/core/tests/second_attempts.rs
+++ b/crates/core/tests/second_attempts.rs
@@ -6,7 +6,7 @@
     ServerLoad,
 };
 use latchwheel_core::identity::stable_hash;
-use latchwheel_core::second_attempt::{AttemptTime, SecondAttempts, ANSWERS_FOR_ONE, SAVED_LIMIT};
+use latchwheel_core::second_attempt::{AttemptTime, SecondAttempts, ANSWERS_PER_SECOND_ATTEMPT, MAX_SAVED_ATTEMPTS};
 use latchwheel_core::time::Instant;
 use rand::{rngs::SmallRng, Rng, SeedableRng};
 use std::sync::Arc;
@@ -62,7 +62,7 @@
 #[test]
 fn an_answer_is_overdue_after_nearly_all_others_came() {
     let mut attempts = SecondAttempts::default();
-    learn(&mut attempts, ANSWERS_FOR_ONE - 1, |_| EXPECTED);
+    learn(&mut attempts, ANSWERS_PER_SECOND_ATTEMPT - 1, |_| EXPECTED);
     assert_eq!(overdue(&attempts, EXPECTED), None, "too little is known");
     let mut random = SmallRng::seed_from_u64(1);
     let times: Vec<f64> = (0..5000).map(|_| (random.random::<f64>() * 2.0).exp()).collect();
@@ -95,11 +95,11 @@
     for number in 1..=3000_u32 {
         learn(&mut attempts, 1, |_| EXPECTED);
         let begun = u32::from(attempts.begin(ROUTE, &start(20)));
-        assert_eq!(begun == 1, number.is_multiple_of(ANSWERS_FOR_ONE), "{number}");
+        assert_eq!(begun == 1, number.is_multiple_of(ANSWERS_PER_SECOND_ATTEMPT), "{number}");
     }
     learn(&mut attempts, 100_000, |_| EXPECTED);
     let begun = (0..100).filter(|_| attempts.begin(ROUTE, &start(20))).count();
-    assert_eq!(begun, SAVED_LIMIT as usize, "calm hours are not saved up");
+    assert_eq!(begun, MAX_SAVED_ATTEMPTS as usize, "calm hours are not saved up");
 }
 
 /// Most answers that are overdue come by themselves, and in time.
@@ -374,7 +374,7 @@
 
     fn begin_second(&mut self, now: u64, run: &Run) {
         self.requests[run.request].looks += 1;
-        if !self.attempts.is_paid_for() {
+        if !self.attempts.has_budget() {
             return;
         }
         let avoid = [run.placement.server.clone()];
@@ -408,6 +408,11 @@
         assert!(with.in_time >= 0.95, "{seed}: {}", with.in_time);
         assert!(with.in_time > without.in_time, "{seed}: {} {}", with.in_time, without.in_time);
         assert!(with.slowest < without.slowest, "{seed}: {} {}", with.slowest, without.slowest);
-        assert!(with.begun * ANSWERS_FOR_ONE as usize <= with.answered, "{seed}: {} {}", with.begun, with.answered);
+        assert!(
+            with.begun * ANSWERS_PER_SECOND_ATTEMPT as usize <= with.answered,
+            "{seed}: {} {}",
+            with.begun,
+            with.answered
+        );
     }
 }
--- a/crates/core/tests/simulation/machine.rs
+++ b/crates/core/tests/simulation/machine.rs
@@ -5,7 +5,7 @@
 use super::world::{Destination, Happening, LeaseAsk, MachineNumber, Message, World};
 use latchwheel_core::identity::NodeId;
 use latchwheel_core::jobs::JobState;
-use latchwheel_core::leasing::{Asker, Leasing};
+use latchwheel_core::leasing::{LeaseRequester, Leasing};
 use latchwheel_core::replication::{Action, Event, HardState, LogBase, Replication, Restored, Settings};
 use latchwheel_core::time::Instant;
 use latchwheel_protocol::v1::command::Body;
@@ -233,7 +233,7 @@
         }
         leasing.reclaim(now, node_of(holder), &unanswered, &running.state);
         let ended = leasing.renew(now, node_of(holder), &held, &running.state);
-        let asker = Asker { node: node_of(holder), request };
+        let asker = LeaseRequester { node: node_of(holder), request };
         let mut items = Vec::new();
         let mut starts = Vec::new();
         for grant in leasing.grant(now, asker, "row", room, &running.state) {
--- a/crates/core/tests/store_outage.rs
+++ b/crates/core/tests/store_outage.rs
@@ -1,7 +1,7 @@
 //! 300 nodes, three of them upstreams, through outages of the record store, cut
 //! upstreams and lost polls: what they call, and when they know of its return.
 
-use latchwheel_core::circuit_breaker::{CircuitBreaker, ProbePolicy, LONGEST_SHARED_PAUSE};
+use latchwheel_core::circuit_breaker::{CircuitBreaker, ProbePolicy, MAX_SHARED_PAUSE};
 use latchwheel_core::record_source::{PollCondition, RecordSource, SourceSelector, UpstreamState};
 use latchwheel_core::time::Instant;
 use rand::rngs::StdRng;
@@ -115,9 +115,9 @@
     fn hear(&mut self, now: Instant, state: &UpstreamState, trouble: &Trouble, draw: f64) {
         if state.is_reliable() {
             self.knows = self.knows.max(now - state.age);
-            self.breaker.note_told_answering(now);
+            self.breaker.note_upstream_answering(now);
         } else if self.choice.source() == RecordSource::Store && !trouble.ignores_upstreams {
-            self.breaker.note_told_away(now, draw);
+            self.breaker.note_upstream_unreachable(now, draw);
         }
     }
 
@@ -204,7 +204,7 @@
 /// Calls that all nodes may make in an outage: each of them one as it begins, and
 /// its probes.
 fn most_calls(outage: Duration) -> usize {
-    let probes = outage.as_secs_f64() / (LONGEST_SHARED_PAUSE.as_secs_f64() * 0.75) + 1.0;
+    let probes = outage.as_secs_f64() / (MAX_SHARED_PAUSE.as_secs_f64() * 0.75) + 1.0;
     (NODES as f64 * probes) as usize
 }
 
@@ -245,7 +245,7 @@
 
 /// Time in which each node finds out by itself.
 fn own_bound() -> Duration {
-    LONGEST_SHARED_PAUSE.mul_f64(1.25) + Duration::from_millis(100)
+    MAX_SHARED_PAUSE.mul_f64(1.25) + Duration::from_millis(100)
 }
 
 /// No upstream is needed: each node finds out by itself within its bound.
--- a/crates/jobs/src/asked_ends.rs
+++ b/crates/jobs/src/asked_ends.rs
@@ -10,7 +10,7 @@
 use crate::nodes::Nodes;
 use crate::spool::hand_out_end;
 use crate::spooled_ends::HandedEnd;
-use latchwheel_core::outstanding_ends::{GivenUp, OutstandingEnd, OutstandingEnds};
+use latchwheel_core::outstanding_ends::{AbandonedCancellation, PendingCancellation, PendingCancellations};
 use latchwheel_events::{emit, Event};
 use latchwheel_records::RecordStore;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -23,7 +23,7 @@
 
 #[derive(Debug, Default)]
 struct Waiting {
-    ends: OutstandingEnds,
+    ends: PendingCancellations,
     is_worked_on: bool,
 }
 
@@ -67,7 +67,7 @@
             never = keeping => never,
         };
         if !is_settled(&ended) {
-            self.put(&job, caller.as_deref());
+            self.push(&job, caller.as_deref());
         }
         ended
     }
@@ -90,9 +90,9 @@
     }
 
     /// Goes on trying to end a job after its caller was answered.
-    fn put(self: &Arc<Self>, job: &str, caller: Option<&str>) {
+    fn push(self: &Arc<Self>, job: &str, caller: Option<&str>) {
         let mut waiting = self.lock();
-        let given_up = waiting.ends.put(self.now(), job, caller);
+        let given_up = waiting.ends.push(self.now(), job, caller);
         emit(job, &Event::EndOutstanding { job, waiting: waiting.ends.len() });
         log_given_up(given_up);
         if !std::mem::replace(&mut waiting.is_worked_on, true) {
@@ -112,7 +112,7 @@
         }
     }
 
-    async fn try_one(&self, end: &OutstandingEnd) -> Result<(), DeskFault> {
+    async fn try_one(&self, end: &PendingCancellation) -> Result<(), DeskFault> {
         let ending = self.ender.end(&*self.store, &end.job, end.caller.as_deref());
         let outcome = tokio::time::timeout(TRY_TIME, ending).await.unwrap_or(Err(DeskFault::Unknown));
         if is_settled(&outcome) {
@@ -124,7 +124,7 @@
 
     /// The next end to try, and the pause before that; without one, the next that is put
     /// starts the work anew.
-    fn next(&self) -> Option<(OutstandingEnd, Duration)> {
+    fn next(&self) -> Option<(PendingCancellation, Duration)> {
         let mut waiting = self.lock();
         let pause = waiting.ends.pause();
         let next = waiting.ends.next_end();
@@ -147,7 +147,7 @@
     matches!(ended, Ok(()) | Err(DeskFault::Absent))
 }
 
-fn log_given_up(given_up: Option<GivenUp>) {
+fn log_given_up(given_up: Option<AbandonedCancellation>) {
     if let Some((end, reason)) = given_up {
         emit(&end.job, &Event::EndGivenUp { job: &end.job, reason: reason.word() });
     }
--- a/crates/jobs/src/handed.rs
+++ b/crates/jobs/src/handed.rs
@@ -3,7 +3,7 @@
 use crate::desk::{DeskFault, Taken, LONGEST_PAUSE, PAUSE};
 use crate::job_entry::{Entered, JobEntry};
 use crate::layout::JobBody;
-use latchwheel_core::retry::doubled_pause;
+use latchwheel_core::retry::exponential_backoff;
 use latchwheel_records::{RecordStore, RecordsFault};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -69,7 +69,7 @@
             Err(RecordsFault::Refused | RecordsFault::Unavailable | RecordsFault::Rejected) => {}
             Err(_) => fault = DeskFault::Unknown,
         }
-        let pause = doubled_pause(PAUSE, LONGEST_PAUSE, failures);
+        let pause = exponential_backoff(PAUSE, LONGEST_PAUSE, failures);
         if Instant::now() + pause >= until {
             return Err(fault);
         }
--- a/crates/jobs/src/item_failures.rs
+++ b/crates/jobs/src/item_failures.rs
@@ -10,7 +10,7 @@
 use futures::future::BoxFuture;
 use futures::FutureExt;
 use latchwheel_core::item_progress::{ItemProgress, ItemState};
-use latchwheel_core::retry::doubled_pause;
+use latchwheel_core::retry::exponential_backoff;
 use latchwheel_events::{emit, Event};
 use latchwheel_proxy::Dialect;
 use latchwheel_records::{Committed, RecordStore, RecordsFault, Transaction, Write};
@@ -104,7 +104,7 @@
         let attempts = self.recording.take().map_or(0, |recording| recording.attempts);
         if let Err(fault) = written {
             emit(&self.job, &Event::FailuresNotRecorded { job: &self.job, reason: fault.word() });
-            self.record(attempts + 1, doubled_pause(STORE_PAUSE, LONGEST_STORE_PAUSE, attempts));
+            self.record(attempts + 1, exponential_backoff(STORE_PAUSE, LONGEST_STORE_PAUSE, attempts));
         }
     }
 }
--- a/crates/jobs/src/item_starts.rs
+++ b/crates/jobs/src/item_starts.rs
@@ -154,7 +154,7 @@
             self.progress[position].wait_until(now + left.min(QUARANTINE_LOOK));
             return true;
         }
-        if let Some(left) = shared.weighed_for(&outgoing) {
+        if let Some(left) = shared.hold_remaining(&outgoing) {
             self.progress[position].wait_until(shared.clock.now() + left);
             return true;
         }
@@ -175,9 +175,9 @@
             overdue: rank.late,
             due_ms: rank.due_ms,
             expected_end: now + self.context.run_times(route).remaining(self.progress[position].events()),
-            cut_before: self.progress[position].begun().is_some(),
+            preempted_before: self.progress[position].begun().is_some(),
         };
-        self.progress[position].note_begun(now);
+        self.progress[position].note_run_started(now);
         self.progress[position].start();
         let progress = self.progress[position].clone();
         let give_way = Arc::new(Notify::new());
--- a/crates/jobs/src/job_confirmation.rs
+++ b/crates/jobs/src/job_confirmation.rs
@@ -8,7 +8,7 @@
 use crate::layout::{job_key, JobState};
 use futures::future::BoxFuture;
 use futures::FutureExt;
-use latchwheel_core::retry::doubled_pause;
+use latchwheel_core::retry::exponential_backoff;
 use latchwheel_core::time::Instant;
 use latchwheel_events::{emit, Event};
 use latchwheel_proxy::Dialect;
@@ -59,7 +59,7 @@
         if failures.count == 0 {
             emit(&self.job, &Event::JobNotConfirmed { job: &self.job, reason: fault.word() });
         }
-        let pause = doubled_pause(STORE_PAUSE, LONGEST_STORE_PAUSE, failures.count);
+        let pause = exponential_backoff(STORE_PAUSE, LONGEST_STORE_PAUSE, failures.count);
         failures.count += 1;
         failures.again_at = self.context.shared.clock.now() + pause;
     }
--- a/crates/jobs/src/job_listing.rs
+++ b/crates/jobs/src/job_listing.rs
@@ -12,7 +12,7 @@
 use futures::FutureExt;
 use latchwheel_core::item_progress::ItemState;
 use latchwheel_core::listing_pause::{listing_pause, SHORTEST};
-use latchwheel_core::retry::doubled_pause;
+use latchwheel_core::retry::exponential_backoff;
 use latchwheel_core::time::Instant;
 use latchwheel_events::{emit, Event};
 use latchwheel_proxy::Dialect;
@@ -172,7 +172,7 @@
             self.lists_from = self.lists_from.max(self.context.shared.clock.now() + STORE_PAUSE);
             return;
         }
-        let pause = doubled_pause(STORE_PAUSE, LONGEST_STORE_PAUSE, failures);
+        let pause = exponential_backoff(STORE_PAUSE, LONGEST_STORE_PAUSE, failures);
         let outcome = commit(self.context.store.clone(), transaction.clone(), pause).boxed();
         let begun_at = self.context.shared.clock.now();
         self.listing = Some(Listing { items: ready, part, transaction, failures: failures + 1, begun_at, outcome });
--- a/crates/jobs/src/job_run.rs
+++ b/crates/jobs/src/job_run.rs
@@ -15,7 +15,7 @@
 use futures::stream::{FuturesUnordered, StreamExt};
 use latchwheel_core::dispatch::RecentPreemptions;
 use latchwheel_core::item_progress::{GiveUpRules, ItemProgress, ItemState, RunEnd};
-use latchwheel_core::retry::doubled_pause;
+use latchwheel_core::retry::exponential_backoff;
 use latchwheel_core::routes::{Route, DEFAULT_MAX_ATTEMPTS};
 use latchwheel_core::time::Instant;
 use latchwheel_events::{emit, Event, ItemEnd};
@@ -107,7 +107,7 @@
             Ok(loaded) => break loaded,
             Err(fault) => log_not_loaded(&job, fault, failures),
         }
-        tokio::time::sleep(doubled_pause(STORE_PAUSE, LONGEST_STORE_PAUSE, failures)).await;
+        tokio::time::sleep(exponential_backoff(STORE_PAUSE, LONGEST_STORE_PAUSE, failures)).await;
         if matches!(*orders.borrow(), JobOrder::Leave(_)) {
             return;
         }
--- a/crates/jobs/src/layout.rs
+++ b/crates/jobs/src/layout.rs
@@ -20,7 +20,7 @@
 //! record is absent.
 
 use latchwheel_core::fingerprint::{Fingerprint, RequestKey, RequestShape};
-use latchwheel_core::quarantine::Verdict;
+use latchwheel_core::quarantine::QuarantineEntry;
 use latchwheel_core::time::WallTime;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -259,7 +259,7 @@
 
 impl QuarantineRecord {
     /// The record of a verdict.
-    pub fn of(verdict: &Verdict) -> Self {
+    pub fn of(verdict: &QuarantineEntry) -> Self {
         Self {
             shape: verdict.request.shape.0,
             changed_at_ms: verdict.changed_at.0,
@@ -270,10 +270,10 @@
     }
 
     /// Reads the verdict of a record.
-    pub fn read(key: &str, value: &[u8]) -> Option<Verdict> {
+    pub fn read(key: &str, value: &[u8]) -> Option<QuarantineEntry> {
         let record: Self = serde_json::from_slice(value).ok()?;
         let request = RequestKey { shape: RequestShape(record.shape), fingerprint: request_of_key(key)? };
-        Some(Verdict {
+        Some(QuarantineEntry {
             request,
             changed_at: WallTime(record.changed_at_ms),
             until: WallTime(record.until_ms),
--- a/crates/jobs/src/making_room.rs
+++ b/crates/jobs/src/making_room.rs
@@ -59,7 +59,7 @@
     /// of the route's services are refused; `None` while none are.
     pub(crate) fn pressed_excess(&self, route: &Route) -> Option<i64> {
         let now = self.context.shared.clock.now();
-        let pressed = |service: &str| self.context.shared.dispatcher().is_pressed(now, service);
+        let pressed = |service: &str| self.context.shared.dispatcher().is_overloaded(now, service);
         let limits = route.targets.iter().filter(|target| pressed(&target.service));
         let limit = limits.map(|target| self.pressed_limit(&target.service)).min()?;
         Some(self.context.running() as i64 - limit as i64)
--- a/crates/jobs/src/nodes.rs
+++ b/crates/jobs/src/nodes.rs
@@ -188,7 +188,7 @@
         let workers_changed = move |workers: &BTreeSet<String>| {
             if runs_items {
                 let workers = workers.iter().map(|worker| NodeId::of_name(worker)).collect();
-                sharing.dispatcher().set_deferring(own_id, workers);
+                sharing.dispatcher().set_deferrable_nodes(own_id, workers);
             }
         };
         let follower = Follower {
--- a/crates/jobs/src/quarantine_records.rs
+++ b/crates/jobs/src/quarantine_records.rs
@@ -4,7 +4,7 @@
 //! An operator lets a request go by removing its record.
 
 use crate::layout::{quarantine_key, request_of_key, QuarantineRecord, QUARANTINE_PREFIX};
-use latchwheel_core::quarantine::{REMEMBERED, VERDICT_LIMIT};
+use latchwheel_core::quarantine::{QUARANTINE_LIMIT, QUARANTINE_RETENTION};
 use latchwheel_core::time::WallTime;
 use latchwheel_events::{emit, Event};
 use latchwheel_proxy::{Dialect, Shared, VerdictSource};
@@ -78,9 +78,9 @@
     let mut records = store.list(QUARANTINE_PREFIX).await?.records;
     let until = |record: &Record| QuarantineRecord::read(&record.key, &record.value).map(|verdict| verdict.until);
     records.sort_by_cached_key(|record| std::cmp::Reverse(until(record)));
-    let beyond = records.iter().skip(VERDICT_LIMIT);
-    let over = |record: &&Record| until(record).is_none_or(|until| until + REMEMBERED < now);
-    let old = records.iter().take(VERDICT_LIMIT).filter(over).chain(beyond);
+    let beyond = records.iter().skip(QUARANTINE_LIMIT);
+    let over = |record: &&Record| until(record).is_none_or(|until| until + QUARANTINE_RETENTION < now);
+    let old = records.iter().take(QUARANTINE_LIMIT).filter(over).chain(beyond);
     for record in old {
         let expected = vec![(record.key.clone(), record.revision)];
         let removes = vec![record.key.clone()];
--- a/crates/jobs/src/run_registry.rs
+++ b/crates/jobs/src/run_registry.rs
@@ -2,7 +2,7 @@
 //! at once where an urgent request wants its slot.
 
 use latchwheel_core::dispatch::ServerKey;
-use latchwheel_core::give_way::{first_to_give_way, RunOutlook};
+use latchwheel_core::give_way::{first_to_preempt, RunOutlook};
 use latchwheel_core::time::Instant;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -18,7 +18,7 @@
     /// When it is expected to end without a pause.
     pub(crate) expected_end: Instant,
     /// Whether an earlier run of the item was broken off.
-    pub(crate) cut_before: bool,
+    pub(crate) preempted_before: bool,
 }
 
 /// Number of a run in the registry.
@@ -57,10 +57,10 @@
         let mut state = self.lock();
         state.started += 1;
         let number = state.started;
-        let StartedRun { overdue, due_ms, expected_end, cut_before } = run;
+        let StartedRun { overdue, due_ms, expected_end, preempted_before } = run;
         let runs = state.servers.entry(ServerKey::of(server)).or_default();
         runs.server = server.clone();
-        runs.outlooks.push(RunOutlook { overdue, due_ms, expected_end, cut_before, number });
+        runs.outlooks.push(RunOutlook { overdue, due_ms, expected_end, preempted_before, number });
         runs.give_way.push(give_way);
         RunNumber(number)
     }
@@ -87,7 +87,7 @@
     pub(crate) fn break_first(&self, now: Instant, key: ServerKey) {
         let mut state = self.lock();
         let Some(runs) = state.servers.get_mut(&key) else { return };
-        if let Some(first) = first_to_give_way(now, &runs.outlooks) {
+        if let Some(first) = first_to_preempt(now, &runs.outlooks) {
             runs.take(first).notify_one();
         }
     }
--- a/crates/jobs/src/spool.rs
+++ b/crates/jobs/src/spool.rs
@@ -24,7 +24,7 @@
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
-use latchwheel_core::retry::doubled_pause;
+use latchwheel_core::retry::exponential_backoff;
 use latchwheel_events::{emit, Event};
 use latchwheel_http::{empty, read_bounded, serve, Body, CallFault, Client, Version};
 use latchwheel_records::{Committed, RecordStore, RecordsFault, Transaction, Write};
@@ -321,7 +321,7 @@
         loop {
             let ended = self.arrivals.ended();
             let Some(Kept { mut jobs, unread }) = self.read_kept().await else {
-                tokio::time::sleep(doubled_pause(DRAIN_PAUSE, LONGEST_DRAIN_PAUSE, failures)).await;
+                tokio::time::sleep(exponential_backoff(DRAIN_PAUSE, LONGEST_DRAIN_PAUSE, failures)).await;
                 failures += 1;
                 continue;
             };
@@ -340,7 +340,7 @@
                 }
             }
             if ends_left + left + unread > 0 {
-                tokio::time::sleep(doubled_pause(DRAIN_PAUSE, LONGEST_DRAIN_PAUSE, failures)).await;
+                tokio::time::sleep(exponential_backoff(DRAIN_PAUSE, LONGEST_DRAIN_PAUSE, failures)).await;
                 failures += 1;
                 continue;
             }
--- a/crates/jobs/src/spooled_ends.rs
+++ b/crates/jobs/src/spooled_ends.rs
@@ -12,7 +12,7 @@
 use crate::spool::{log_not_drained, write_file};
 use hyper::StatusCode;
 use latchwheel_core::identity::stable_hash;
-use latchwheel_core::outstanding_ends::MOST_OUTSTANDING;
+use latchwheel_core::outstanding_ends::MAX_PENDING_CANCELLATIONS;
 use latchwheel_events::{emit, Event};
 use latchwheel_records::RecordStore;
 use serde::{Deserialize, Serialize};
@@ -26,7 +26,7 @@
 pub(crate) const END_LIMIT: usize = 16 << 10;
 const FILE_ENDING: &str = "end";
 /// Most ends on a disk: as many as a node owes at a time.
-const MOST_KEPT: usize = MOST_OUTSTANDING;
+const MOST_KEPT: usize = MAX_PENDING_CANCELLATIONS;
 
 /// An end as a node hands it to others.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
--- a/crates/jobs/tests/spooled_ends.rs
+++ b/crates/jobs/tests/spooled_ends.rs
@@ -1,7 +1,7 @@
 //! An end that the store doesn't take in time lasts on workers' disks, so that it is done
 //! whichever process ends before the store answers again.
 
-use latchwheel_core::outstanding_ends::MOST_OUTSTANDING;
+use latchwheel_core::outstanding_ends::MAX_PENDING_CANCELLATIONS;
 use latchwheel_http::{CallFault, Client};
 use latchwheel_jobs::layout::{job_key, JobRecord, JobState};
 use latchwheel_jobs::{ItemBody, JobBody, JobDesk, NodeRole, Nodes, OwnedJobs, Spool, Submission};
@@ -168,13 +168,13 @@
     ask_until_kept(OWNER, &[&disk]).await;
     ask_until_kept(OWNER, &[&disk]).await;
     assert_eq!(disk.ends().len(), 1);
-    for number in 1..MOST_OUTSTANDING {
+    for number in 1..MAX_PENDING_CANCELLATIONS {
         let end = serde_json::json!({ "job": format!("job-full-{number}"), "caller": null });
         std::fs::write(disk.folder.path().join(format!("spool/job-full-{number}.0.end")), end.to_string()).unwrap();
     }
     assert!(hand_over(&disk, JOB).await.is_ok(), "it is kept already");
     assert!(matches!(hand_over(&disk, "job-2").await, Err(CallFault::BadAnswer(507, _))));
-    assert_eq!(disk.ends().len(), MOST_OUTSTANDING);
+    assert_eq!(disk.ends().len(), MAX_PENDING_CANCELLATIONS);
 }
 
 /// A caller that asks at several nodes at once: each of them hands the same end over, and
--- a/crates/node/src/configuration.rs
+++ b/crates/node/src/configuration.rs
@@ -4,7 +4,7 @@
 use crate::peers::{PeerCall, PeerClient};
 use latchwheel_core::configuration::{watch_name, Action, ConfigurationLog, EditOutcome, Event, Record, WATCHERS};
 use latchwheel_core::identity::NodeId;
-use latchwheel_core::ownership::is_among_first;
+use latchwheel_core::ownership::is_in_rendezvous_top;
 use latchwheel_core::table::{Edit, Table};
 use latchwheel_protocol::v1::{RevisionAnswer, RevisionPull, RevisionRecord};
 use latchwheel_site::{KeyValueClient, KeyValueFault, Written};
@@ -275,7 +275,7 @@
     fn is_watcher(&self) -> bool {
         let view = self.members.view();
         let nodes = view.live_in_region().map(|record| NodeId(record.node));
-        is_among_first(NodeId(view.me.node), watch_name(), nodes, WATCHERS)
+        is_in_rendezvous_top(NodeId(view.me.node), watch_name(), nodes, WATCHERS)
     }
 }
 
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -53,7 +53,8 @@
             Ok(()) => return Ok(()),
             Err(after) => after,
         };
-        let demands = self.holder.lock().unwrap_or_else(PoisonError::into_inner).pressing(self.clock.now(), &row.name);
+        let demands =
+            self.holder.lock().unwrap_or_else(PoisonError::into_inner).urgent_demands(self.clock.now(), &row.name);
         if demands.is_empty() {
             return Err(after);
         }
--- a/crates/proxy/src/accept.rs
+++ b/crates/proxy/src/accept.rs
@@ -1,7 +1,7 @@
 //! Taking a request in: what it names, its route, its body and its tenant.
 
 use crate::ambiguity::is_ambiguous;
-use crate::answer::{error_answer, COME_BACK};
+use crate::answer::{error_answer, DEFAULT_RETRY_AFTER};
 use crate::caller::{bearer_key, put_tenant};
 use crate::dialect::Dialect;
 use crate::exchange::Outgoing;
@@ -34,7 +34,7 @@
     pub(crate) fn answer<D: Dialect>(&self, shared: &Shared<D>, received: Instant) -> Response<Body> {
         let route = self.route.as_ref().map_or("", |route| &*route.name);
         let leaving = self.code == ResultCode::Leaving;
-        let retry_after = self.retry_after.unwrap_or(if leaving { OTHER_NODE_COME_BACK } else { COME_BACK });
+        let retry_after = self.retry_after.unwrap_or(if leaving { OTHER_NODE_COME_BACK } else { DEFAULT_RETRY_AFTER });
         log_refusal(shared, &self.id, route, self.code, received, retry_after);
         error_answer(self.code, Some(retry_after))
     }
--- a/crates/proxy/src/answer.rs
+++ b/crates/proxy/src/answer.rs
@@ -10,7 +10,7 @@
 const RAN_HEADER: HeaderName = HeaderName::from_static("x-latchwheel-ran");
 
 /// Default time after which to come back.
-pub(crate) const COME_BACK: Duration = Duration::from_millis(250);
+pub(crate) const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// An answer with a result code; refusals say when to come back.
 pub fn error_answer(code: ResultCode, retry_after: Option<Duration>) -> Response<Body> {
@@ -21,7 +21,7 @@
     headers.insert(CODE_HEADER, HeaderValue::from(code.number()));
     headers.insert(RAN_HEADER, HeaderValue::from_static(code.ran().word()));
     if matches!(status, 429 | 503) {
-        headers.insert(RETRY_AFTER, come_back_header(retry_after.unwrap_or(COME_BACK)));
+        headers.insert(RETRY_AFTER, come_back_header(retry_after.unwrap_or(DEFAULT_RETRY_AFTER)));
     }
     response
 }
--- a/crates/proxy/src/claims.rs
+++ b/crates/proxy/src/claims.rs
@@ -4,7 +4,7 @@
 use crate::keeper_claims::RENEW_EVERY;
 use crate::placements::{PlaceAsk, Placements, Terms, Told, ADVICE_TIME};
 use crate::shared::Shared;
-use latchwheel_core::admission::Standing;
+use latchwheel_core::admission::QueuePosition;
 use latchwheel_core::dispatch::{Choice, Placement, RouteKey};
 use latchwheel_core::identity::NodeId;
 use latchwheel_core::tenants::TenantKey;
@@ -54,8 +54,8 @@
     pub(crate) tenants: u32,
 }
 
-impl From<&Standing> for ClaimStanding {
-    fn from(standing: &Standing) -> Self {
+impl From<&QueuePosition> for ClaimStanding {
+    fn from(standing: &QueuePosition) -> Self {
         Self {
             ahead: standing.ahead as u32,
             waiting: standing.waiting as u32,
@@ -87,7 +87,7 @@
 }
 
 /// How waiting at one keeper ended.
-enum Waited {
+enum WaitOutcome {
     Placed(Placement),
     /// Refused, with a time to come back.
     CrowdedOut(Duration),
@@ -142,18 +142,18 @@
             };
             let waited = self.wait_at(shared, ask, terms, keeper, &mut standing).await;
             let choice = match waited {
-                Waited::Placed(placement) => Choice::Send(placement),
-                Waited::CrowdedOut(retry_after) => Choice::Full(retry_after),
-                Waited::Lost if shared.clock.now() < terms.waits_until => {
+                WaitOutcome::Placed(placement) => Choice::Send(placement),
+                WaitOutcome::CrowdedOut(retry_after) => Choice::Full(retry_after),
+                WaitOutcome::Lost if shared.clock.now() < terms.waits_until => {
                     lost += 1;
                     continue;
                 }
-                Waited::NoQueue if shared.clock.now() < terms.waits_until => {
+                WaitOutcome::NoQueue if shared.clock.now() < terms.waits_until => {
                     tokio::time::sleep(RENEW_EVERY).await;
                     continue;
                 }
-                Waited::Lost | Waited::NoQueue => Choice::Full(RENEW_EVERY),
-                Waited::Unusable => return None,
+                WaitOutcome::Lost | WaitOutcome::NoQueue => Choice::Full(RENEW_EVERY),
+                WaitOutcome::Unusable => return None,
             };
             return Some(ClaimOutcome { choice, standing, lost });
         }
@@ -185,7 +185,7 @@
         terms: &ClaimTerms,
         keeper: NodeId,
         standing: &mut Option<ClaimStanding>,
-    ) -> Waited {
+    ) -> WaitOutcome {
         let claim = Some(terms.message(shared.clock.now(), true));
         let mut call = self.call(shared, ask, keeper, &Terms { wait_limit: ask.wait_limit, may_displace: true, claim });
         let mut waiting = WaitingClaim { placements: self, keeper, number: call.number, ended: false };
@@ -196,26 +196,26 @@
                 if !is_queued {
                     self.note_silent(keeper);
                 }
-                return Waited::Lost;
+                return WaitOutcome::Lost;
             };
             if advice.queued {
                 if !is_queued {
                     is_queued = true;
                     *standing = Some(ClaimStanding::from(&advice));
                 } else if let Some(placement) = self.look_elsewhere(shared, ask, terms, keeper).await {
-                    return Waited::Placed(placement);
+                    return WaitOutcome::Placed(placement);
                 }
                 continue;
             }
             waiting.ended = true;
             if advice.crowded_out {
                 *standing = Some(ClaimStanding::from(&advice));
-                return Waited::CrowdedOut(Duration::from_millis(u64::from(advice.wait_ms)));
+                return WaitOutcome::CrowdedOut(Duration::from_millis(u64::from(advice.wait_ms)));
             }
             return match self.read(shared, ask, &advice) {
-                Told::Place(placement) => Waited::Placed(placement),
-                Told::Wait(_) => Waited::NoQueue,
-                Told::Nothing => Waited::Unusable,
+                Told::Place(placement) => WaitOutcome::Placed(placement),
+                Told::Wait(_) => WaitOutcome::NoQueue,
+                Told::Nothing => WaitOutcome::Unusable,
             };
         }
     }
--- a/crates/proxy/src/crashes/messages.rs
+++ b/crates/proxy/src/crashes/messages.rs
@@ -2,7 +2,7 @@
 
 use latchwheel_core::dispatch::ServerKey;
 use latchwheel_core::fingerprint::{Fingerprint, RequestKey, RequestShape};
-use latchwheel_core::quarantine::Verdict;
+use latchwheel_core::quarantine::QuarantineEntry;
 use latchwheel_core::time::WallTime;
 use latchwheel_protocol::v1;
 
@@ -16,7 +16,7 @@
     RequestKey { shape: RequestShape(message.shape), fingerprint: Fingerprint(fingerprint) }
 }
 
-pub(super) fn verdict_message(verdict: &Verdict) -> v1::QuarantineVerdict {
+pub(super) fn verdict_message(verdict: &QuarantineEntry) -> v1::QuarantineVerdict {
     v1::QuarantineVerdict {
         request: Some(request_message(&verdict.request)),
         changed_at_ms: verdict.changed_at.0,
@@ -28,8 +28,8 @@
 }
 
 /// `None` if the message names no request.
-pub(super) fn verdict_of(message: &v1::QuarantineVerdict) -> Option<Verdict> {
-    Some(Verdict {
+pub(super) fn verdict_of(message: &v1::QuarantineVerdict) -> Option<QuarantineEntry> {
+    Some(QuarantineEntry {
         request: request_of(message.request.as_ref()?),
         changed_at: WallTime(message.changed_at_ms),
         until: WallTime(message.until_ms),
--- a/crates/proxy/src/crashes/mod.rs
+++ b/crates/proxy/src/crashes/mod.rs
@@ -28,7 +28,7 @@
     /// Time for which a request is not to be sent to any server; `None` if it may be.
     pub fn quarantined_for(&self, outgoing: &Outgoing) -> Option<Duration> {
         let content = outgoing.content(self.dialect.names());
-        let (request, left) = self.crashes.held_for(&content)?;
+        let (request, left) = self.crashes.quarantine_remaining(&content)?;
         let left_ms = left.as_millis() as u64;
         let id = outgoing.id.to_str().unwrap_or_default();
         emit(id, &Event::RequestKeptBack { id, request: &request.to_string(), left_ms });
@@ -42,9 +42,9 @@
 
     /// Time for which a request waits until the ends of servers under it are weighed;
     /// `None` if it may be sent.
-    pub fn weighed_for(&self, outgoing: &Outgoing) -> Option<Duration> {
+    pub fn hold_remaining(&self, outgoing: &Outgoing) -> Option<Duration> {
         let content = outgoing.content(self.dialect.names());
-        let (request, left) = self.crashes.weighed_for(&content)?;
+        let (request, left) = self.crashes.hold_remaining(&content)?;
         log_wait(outgoing, request, left);
         Some(left)
     }
--- a/crates/proxy/src/crashes/outbox.rs
+++ b/crates/proxy/src/crashes/outbox.rs
@@ -3,7 +3,7 @@
 use super::messages::{request_message, verdict_message};
 use latchwheel_core::dispatch::ServerKey;
 use latchwheel_core::fingerprint::RequestKey;
-use latchwheel_core::quarantine::Verdict;
+use latchwheel_core::quarantine::QuarantineEntry;
 use latchwheel_core::time::Instant;
 use latchwheel_events::{emit, Event};
 use latchwheel_protocol::{v1, Message};
@@ -84,7 +84,7 @@
     }
 
     /// Something was decided about a request.
-    pub(super) fn put_verdict(&mut self, now: Instant, verdict: &Verdict) {
+    pub(super) fn put_verdict(&mut self, now: Instant, verdict: &QuarantineEntry) {
         let verdicts = vec![verdict_message(verdict)];
         self.put(now, Audience::All, v1::QuarantineNews { verdicts, ..v1::QuarantineNews::default() });
     }
@@ -137,7 +137,7 @@
 }
 
 /// All these verdicts, in messages of bounded size.
-pub(super) fn table_messages<'a>(verdicts: impl Iterator<Item = &'a Verdict>) -> Vec<v1::QuarantineNews> {
+pub(super) fn table_messages<'a>(verdicts: impl Iterator<Item = &'a QuarantineEntry>) -> Vec<v1::QuarantineNews> {
     let mut messages = Vec::new();
     let mut packed = v1::QuarantineNews::default();
     for verdict in verdicts {
--- a/crates/proxy/src/crashes/watch.rs
+++ b/crates/proxy/src/crashes/watch.rs
@@ -5,7 +5,7 @@
 use latchwheel_clock::Clock;
 use latchwheel_core::dispatch::ServerKey;
 use latchwheel_core::fingerprint::{Fingerprint, RequestContent, RequestKey};
-use latchwheel_core::quarantine::{CrashEvidence, Quarantine, Verdict, WatchEnd};
+use latchwheel_core::quarantine::{CrashEvidence, Quarantine, QuarantineEntry, WatchEnd};
 use latchwheel_core::time::{Instant, WallTime};
 use latchwheel_events::{emit, Event};
 use latchwheel_protocol::v1;
@@ -112,12 +112,12 @@
 
     /// The request and the time for which it is not to be sent to any server; `None` if
     /// it may be. The body is read only if something is known of requests of its shape.
-    pub fn held_for(&self, content: &RequestContent<'_>) -> Option<(Fingerprint, Duration)> {
+    pub fn quarantine_remaining(&self, content: &RequestContent<'_>) -> Option<(Fingerprint, Duration)> {
         if !self.lock().quarantine.concerns(content.shape()) {
             return None;
         }
         let fingerprint = content.key().fingerprint;
-        let left = self.lock().quarantine.held_for(fingerprint, self.clock.wall_time())?;
+        let left = self.lock().quarantine.quarantine_remaining(fingerprint, self.clock.wall_time())?;
         Some((fingerprint, left))
     }
 
@@ -128,25 +128,25 @@
 
     /// The request and the time for which it waits until the ends of servers under it are
     /// weighed; `None` if it may be sent.
-    pub fn weighed_for(&self, content: &RequestContent<'_>) -> Option<(Fingerprint, Duration)> {
+    pub fn hold_remaining(&self, content: &RequestContent<'_>) -> Option<(Fingerprint, Duration)> {
         if !self.lock().quarantine.concerns(content.shape()) {
             return None;
         }
         let fingerprint = content.key().fingerprint;
-        let left = self.lock().quarantine.weighed_for(fingerprint, self.clock.now())?;
+        let left = self.lock().quarantine.hold_remaining(fingerprint, self.clock.now())?;
         Some((fingerprint, left))
     }
 
     /// A request is to be sent to a server now: gives back `None`, and other nodes hold its
     /// copies until its fate is known if it is suspected. Otherwise what
-    /// [`CrashWatch::weighed_for`] gives back.
+    /// [`CrashWatch::hold_remaining`] gives back.
     pub fn begin_run(&self, content: &RequestContent<'_>) -> Option<(Fingerprint, Duration)> {
         if !self.lock().quarantine.concerns(content.shape()) {
             return None;
         }
         let (request, now) = (content.key(), self.clock.now());
         let mut state = self.lock();
-        if let Some(left) = state.quarantine.weighed_for(request.fingerprint, now) {
+        if let Some(left) = state.quarantine.hold_remaining(request.fingerprint, now) {
             return Some((request.fingerprint, left));
         }
         if state.quarantine.begin_run(request.fingerprint, now) {
@@ -248,7 +248,7 @@
     }
 
     /// Takes a verdict over if it is news.
-    pub fn take_verdict(&self, verdict: Verdict, source: VerdictSource) {
+    pub fn take_verdict(&self, verdict: QuarantineEntry, source: VerdictSource) {
         let (now, wall) = (self.clock.now(), self.clock.wall_time());
         let mut state = self.lock();
         if source == VerdictSource::Store {
@@ -339,7 +339,7 @@
     }
 
     /// Waits for a verdict that this node has to write to the store.
-    pub async fn verdict_to_store(&self) -> Verdict {
+    pub async fn verdict_to_store(&self) -> QuarantineEntry {
         loop {
             let due = {
                 let mut state = self.lock();
@@ -356,7 +356,7 @@
     }
 
     /// A verdict could not be written; it is given out again after a pause.
-    pub fn store_again(&self, verdict: &Verdict, pause: Duration) {
+    pub fn store_again(&self, verdict: &QuarantineEntry, pause: Duration) {
         self.lock().to_store.insert(verdict.request.fingerprint, self.clock.now() + pause);
     }
 
@@ -371,8 +371,8 @@
             return;
         }
         let quarantine = &self.quarantine;
-        let standing = |request| quarantine.standing(request, wall);
-        if self.evidence.note_crash(now, server, requests, self.rank.place, standing) {
+        let status = |request| quarantine.status(request, wall);
+        if self.evidence.note_crash(now, server, requests, self.rank.place, status) {
             let digests: Vec<String> = requests.iter().map(|request| request.fingerprint.to_string()).collect();
             emit("", &Event::ServerEndNoted { key: &server.to_string(), requests: &digests.join(" ") });
         }
@@ -404,12 +404,12 @@
 
     fn decide(&mut self, now: Instant, wall: WallTime) {
         let quarantine = &self.quarantine;
-        let decisions = self.evidence.decide(now, |request| quarantine.standing(request, wall));
+        let decisions = self.evidence.decide(now, |request| quarantine.status(request, wall));
         for servers in &decisions.lost {
             emit("", &Event::ServersLostTogether { ended: &keys_text(servers) });
         }
         for (request, servers) in decisions.quarantine {
-            let verdict = self.quarantine.sentence(request, servers, wall);
+            let verdict = self.quarantine.impose(request, servers, wall);
             log_verdict(&verdict, VerdictSource::Own, wall);
             self.outbox.put_verdict(now, &verdict);
             self.to_store.insert(request.fingerprint, now);
@@ -424,7 +424,7 @@
     }
 
     /// A verdict stands in the store.
-    fn note_stored(&mut self, verdict: &Verdict) {
+    fn note_stored(&mut self, verdict: &QuarantineEntry) {
         let request = verdict.request.fingerprint;
         let known = self.quarantine.verdict(request);
         if known.is_none_or(|known| known.changed_at <= verdict.changed_at) {
@@ -433,7 +433,7 @@
     }
 
     /// A verdict that is to be written now, or when there will be one.
-    fn next_to_store(&mut self, now: Instant) -> Result<Verdict, Option<Instant>> {
+    fn next_to_store(&mut self, now: Instant) -> Result<QuarantineEntry, Option<Instant>> {
         while let Some((request, due)) =
             self.to_store.iter().min_by_key(|(_, due)| **due).map(|(key, due)| (*key, *due))
         {
@@ -449,7 +449,7 @@
     }
 }
 
-fn log_verdict(verdict: &Verdict, source: VerdictSource, now: WallTime) {
+fn log_verdict(verdict: &QuarantineEntry, source: VerdictSource, now: WallTime) {
     let request = verdict.request.fingerprint.to_string();
     if verdict.lifted {
         emit("", &Event::QuarantineLifted { request: &request, source: source.word() });
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -1,7 +1,7 @@
 //! The way of a request: attempts at servers until there is an answer.
 
 use crate::accept::accept;
-use crate::answer::{error_answer, COME_BACK};
+use crate::answer::{error_answer, DEFAULT_RETRY_AFTER};
 use crate::dialect::Dialect;
 use crate::exchange::{Exchange, Outgoing};
 use crate::resumable::{stream_body, Streaming};
@@ -166,7 +166,7 @@
     /// Time to wait for the head of an answer: to the end where the request
     /// can't be repeated anyway, with so many other attempts in progress.
     pub(crate) fn patience(&self, left: Duration, others: u32) -> Duration {
-        if !self.attempts.may_repeat_beside(others) {
+        if !self.attempts.may_repeat_with_others(others) {
             return left;
         }
         (self.route.latency_target * PATIENCE_TARGETS).max(LEAST_PATIENCE).min(left)
@@ -208,8 +208,8 @@
         if let Some(tenant) = self.tenant.as_ref().filter(|_| self.asked.is_empty()) {
             self.shared.permits.give_back(tenant);
         }
-        let code = self.attempts.verdict(not_run);
-        let come_back_time = retry_after.unwrap_or(COME_BACK);
+        let code = self.attempts.result_code(not_run);
+        let come_back_time = retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
         log_refusal(&self.shared, &self.id, &self.route.name, code, self.received, come_back_time);
         error_answer(code, retry_after)
     }
--- a/crates/proxy/src/keeper_claims.rs
+++ b/crates/proxy/src/keeper_claims.rs
@@ -9,8 +9,8 @@
 use crate::handoff::Handoff;
 use crate::placements::{reserve_server, RoomOrder};
 use crate::shared::Shared;
-use latchwheel_core::admission::{Claim, ClaimId, ClaimQueue, Entry, Granted, Refused, Standing};
-use latchwheel_core::dispatch::{RouteKey, REPORT_LIFE};
+use latchwheel_core::admission::{Claim, ClaimId, ClaimQueue, Entry, Granted, QueuePosition, Refused};
+use latchwheel_core::dispatch::{RouteKey, REPORT_TTL};
 use latchwheel_core::identity::NodeId;
 use latchwheel_core::routes::RoutingTable;
 use latchwheel_core::tenants::TenantKey;
@@ -32,7 +32,7 @@
 const WAIT_FOR_EACH_CLAIM: Duration = Duration::from_millis(1);
 /// Claims of a node that is not heard for this time are dropped: reports of a quiet node may
 /// be as far apart as one counts.
-const SILENCE_LIMIT: Duration = REPORT_LIFE.saturating_mul(2);
+const SILENCE_LIMIT: Duration = REPORT_TTL.saturating_mul(2);
 /// How often a keeper tells what waits at it.
 const TELL_EVERY: Duration = Duration::from_secs(1);
 
@@ -137,8 +137,8 @@
         // they have lost what they would gain.
         let Some(message) = request.claim else { return service.queue.has_timely(now).then_some(DEFERRABLE_PAUSE) };
         let claim = claim_of(now, from, request.number, &message, &shared.table());
-        let standing = service.queue.standing(now, &claim);
-        let wait = standing.wait.unwrap_or(WAIT_FOR_EACH_CLAIM * standing.ahead as u32);
+        let position = service.queue.position(now, &claim);
+        let wait = position.wait.unwrap_or(WAIT_FOR_EACH_CLAIM * position.ahead as u32);
         Some(service.server_wait + wait)
     }
 
@@ -162,15 +162,15 @@
         let mut answers: Vec<ClaimAnswer> =
             displaced.into_iter().filter_map(|displaced| service.refuse(now, displaced)).collect();
         match entry {
-            Entry::Refused { retry_after, standing } => {
-                let advice = crowded_out(claim.id.number, retry_after, &standing);
+            Entry::Refused { retry_after, position } => {
+                let advice = crowded_out(claim.id.number, retry_after, &position);
                 answers.push(ClaimAnswer { node: from, address, advice, order: None });
             }
-            Entry::Queued(standing) => {
+            Entry::Queued(position) => {
                 service.asked.insert(claim.id, Asked { request, address });
                 answers.extend(service.grant(shared, now));
                 if service.asked.contains_key(&claim.id) {
-                    let advice = queued(claim.id.number, &standing);
+                    let advice = queued(claim.id.number, &position);
                     answers.push(ClaimAnswer { node: from, address, advice, order: None });
                 }
             }
@@ -327,8 +327,8 @@
     fn refuse(&mut self, now: Instant, refused: Refused) -> Option<ClaimAnswer> {
         let id = refused.claim.id;
         let address = self.asked.remove(&id)?.address;
-        let standing = self.queue.standing(now, &refused.claim);
-        let advice = crowded_out(id.number, refused.retry_after, &standing);
+        let position = self.queue.position(now, &refused.claim);
+        let advice = crowded_out(id.number, refused.retry_after, &position);
         Some(ClaimAnswer { node: id.node, address, advice, order: None })
     }
 }
@@ -356,17 +356,17 @@
     v1::PlacementAdvice { number, wait_ms, ..v1::PlacementAdvice::default() }
 }
 
-fn queued(number: u64, standing: &Standing) -> v1::PlacementAdvice {
-    let wait = standing.wait.unwrap_or_default();
-    v1::PlacementAdvice { queued: true, ..with_standing(full(number, wait), standing) }
+fn queued(number: u64, position: &QueuePosition) -> v1::PlacementAdvice {
+    let wait = position.wait.unwrap_or_default();
+    v1::PlacementAdvice { queued: true, ..with_standing(full(number, wait), position) }
 }
 
-fn crowded_out(number: u64, retry_after: Duration, standing: &Standing) -> v1::PlacementAdvice {
-    v1::PlacementAdvice { crowded_out: true, ..with_standing(full(number, retry_after), standing) }
+fn crowded_out(number: u64, retry_after: Duration, position: &QueuePosition) -> v1::PlacementAdvice {
+    v1::PlacementAdvice { crowded_out: true, ..with_standing(full(number, retry_after), position) }
 }
 
-fn with_standing(advice: v1::PlacementAdvice, standing: &Standing) -> v1::PlacementAdvice {
-    let ClaimStanding { ahead, waiting, tenant_waiting, tenants } = ClaimStanding::from(standing);
+fn with_standing(advice: v1::PlacementAdvice, position: &QueuePosition) -> v1::PlacementAdvice {
+    let ClaimStanding { ahead, waiting, tenant_waiting, tenants } = ClaimStanding::from(position);
     v1::PlacementAdvice {
         claims_ahead: ahead,
         claims_waiting: waiting,
--- a/crates/proxy/src/own_claims.rs
+++ b/crates/proxy/src/own_claims.rs
@@ -92,19 +92,19 @@
         };
         let (id, entry) = self.enter(now, ask.service, waiting, terms);
         let _entered = Entered { claims: self, service: ask.service, id };
-        let standing = match entry {
-            Entry::Refused { retry_after, standing } => return (Some(Choice::Full(retry_after)), (&standing).into()),
-            Entry::Queued(standing) => ClaimStanding::from(&standing),
+        let position = match entry {
+            Entry::Refused { retry_after, position } => return (Some(Choice::Full(retry_after)), (&position).into()),
+            Entry::Queued(position) => ClaimStanding::from(&position),
         };
         let until = now + KEEPERS_AGAIN_AFTER;
         while shared.clock.now() < until {
             self.grant(shared, ask.service);
             tokio::select! {
-                choice = &mut answer => return (choice.ok(), standing),
+                choice = &mut answer => return (choice.ok(), position),
                 () = tokio::time::sleep(GRANT_PAUSE) => {}
             }
         }
-        (None, standing)
+        (None, position)
     }
 
     fn enter(&self, now: Instant, service: &Arc<str>, waiting: Waiting, terms: &ClaimTerms) -> (ClaimId, Entry) {
--- a/crates/proxy/src/peers/mod.rs
+++ b/crates/proxy/src/peers/mod.rs
@@ -21,7 +21,7 @@
 use crate::waiting::sleep_or_never;
 use known::Candidate;
 use latchwheel_core::byte_budget::ByteBudget;
-use latchwheel_core::dispatch::{NodeShares, ServerKey, REPORT_LIFE};
+use latchwheel_core::dispatch::{NodeShares, ServerKey, REPORT_TTL};
 use latchwheel_core::identity::NodeId;
 use latchwheel_protocol::{v1, Message};
 use messages::{coverage_of, hearing_number, message_of, queue_message_of, queue_of, share_of};
@@ -152,7 +152,7 @@
 /// The pause that keeps the rate within its bound.
 fn pause_after(bytes: usize) -> Duration {
     let bounded = Duration::from_secs_f64(bytes as f64 / BYTES_PER_SECOND as f64);
-    bounded.max(TELL_EVERY).min(REPORT_LIFE)
+    bounded.max(TELL_EVERY).min(REPORT_TTL)
 }
 
 /// Starts above the numbers of an earlier start of this node.
@@ -289,10 +289,10 @@
         self.compare_verdicts(report.quarantine_digest, from);
         let shares = NodeShares {
             servers: report.shares.iter().map(share_of).collect(),
-            pressed: report.pressed.clone(),
+            overloaded: report.pressed.clone(),
             waiting: report.waiting,
             queues: report.queues.iter().map(queue_of).collect(),
-            hearing: coverage_of(report.hearing),
+            coverage: coverage_of(report.hearing),
         };
         if report.sum_parts > 0 {
             self.take_sum(report, shares);
@@ -413,11 +413,11 @@
             from: self.own.0,
             sequence: self.sequence,
             shares: shares.servers.iter().map(message_of).collect(),
-            pressed: shares.pressed.clone(),
+            pressed: shares.overloaded.clone(),
             waiting: shares.waiting,
             queues: shares.queues.iter().map(queue_message_of).collect(),
             newest_table: self.shared.newest_table(),
-            hearing: hearing_number(shares.hearing),
+            hearing: hearing_number(shares.coverage),
             quarantine_digest: self.shared.crashes.digest(),
             machine_room: self.shared.machine_room.message(),
             ..v1::ServerShares::default()
--- a/crates/proxy/src/permits.rs
+++ b/crates/proxy/src/permits.rs
@@ -21,7 +21,7 @@
 /// Time between two looks of a home at whom it hears.
 const HOME_TICK: Duration = Duration::from_millis(50);
 /// What such a request is told.
-const COME_BACK: Duration = Duration::from_millis(250);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
 
 /// Whether a request may go on, or when it may come back.
 type Outcome = Result<(), Duration>;
@@ -76,7 +76,7 @@
         self.wanted.notify_one();
         match tokio::time::timeout(LATEST, answer).await {
             Ok(Ok(outcome)) => outcome,
-            Ok(Err(_)) | Err(_) => Err(COME_BACK),
+            Ok(Err(_)) | Err(_) => Err(DEFAULT_RETRY_AFTER),
         }
     }
 
--- a/crates/proxy/src/place.rs
+++ b/crates/proxy/src/place.rs
@@ -50,7 +50,7 @@
     /// Waits until it is decided whether servers ended under the request. One that has no
     /// time for that is refused at once.
     async fn await_verdict(&self) -> Result<(), Response<Body>> {
-        while let Some(pause) = self.shared.weighed_for(&self.outgoing) {
+        while let Some(pause) = self.shared.hold_remaining(&self.outgoing) {
             if pause >= self.left() {
                 return Err(self.refuse(ResultCode::Quarantined, Some(pause)));
             }
--- a/crates/proxy/src/resumable.rs
+++ b/crates/proxy/src/resumable.rs
@@ -193,7 +193,7 @@
     pub(crate) fn pause_limit(&self, others: u32) -> Duration {
         let left = self.left();
         let resumable = self.route.kind == RequestKind::Stream { resumable: true };
-        if resumable && self.attempts.may_repeat_beside(others) {
+        if resumable && self.attempts.may_repeat_with_others(others) {
             let pause = self.route.gap_target.unwrap_or(DEFAULT_PAUSE) * PAUSE_TARGETS;
             return pause.min(left);
         }
--- a/crates/proxy/src/second_attempt.rs
+++ b/crates/proxy/src/second_attempt.rs
@@ -301,10 +301,10 @@
     /// suspected of ending servers, and not where slots are scarce.
     fn may_send_second(&self) -> bool {
         let now = self.shared.clock.now();
-        self.shared.second_attempts().is_paid_for()
+        self.shared.second_attempts().has_budget()
             && !self.shared.is_suspected(&self.outgoing)
             && !self.shared.own_claims.has_claims(&self.service)
-            && !self.shared.dispatcher().is_pressed(now, &self.service)
+            && !self.shared.dispatcher().is_overloaded(now, &self.service)
     }
 
     /// A free slot at another server than the first one's, which no waiting claim has to get.
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -16,7 +16,7 @@
 use latchwheel_core::holding::HoldOutcomes;
 use latchwheel_core::key_life::KeyAcceptance;
 use latchwheel_core::permits::LimitMargin;
-use latchwheel_core::routes::{Route, RoutingTable, WeightedTurns};
+use latchwheel_core::routes::{Route, RoutingTable, WeightedRoundRobin};
 use latchwheel_core::second_attempt::SecondAttempts;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -53,7 +53,7 @@
     table: Mutex<Arc<RoutingTable>>,
     /// Until when keys of the table in force are accepted.
     pub(crate) key_life: Mutex<KeyAcceptance>,
-    turns: Mutex<WeightedTurns>,
+    turns: Mutex<WeightedRoundRobin>,
     held: Mutex<HoldOutcomes>,
     second_attempts: Mutex<SecondAttempts>,
     /// Newest version of the table that another node told of.
@@ -178,7 +178,7 @@
         for change in changes {
             match change {
                 DirectoryChange::Ready(record) => dispatcher.set_one_ready(record),
-                DirectoryChange::Draining(server) | DirectoryChange::Gone(server) => dispatcher.set_left(server),
+                DirectoryChange::Draining(server) | DirectoryChange::Gone(server) => dispatcher.set_draining(server),
                 DirectoryChange::Unconfirmed(_) => {}
             }
         }
--- a/crates/proxy/tests/second_attempts.rs
+++ b/crates/proxy/tests/second_attempts.rs
@@ -8,9 +8,9 @@
 use hyper::{Method, Request};
 use latchwheel_core::dispatch::{FirstPiece, Prompt, RouteKey, ServerKey, ServerLoad};
 use latchwheel_core::fingerprint::RequestContent;
-use latchwheel_core::quarantine::Verdict;
+use latchwheel_core::quarantine::QuarantineEntry;
 use latchwheel_core::routes::RequestKind;
-use latchwheel_core::second_attempt::ANSWERS_FOR_ONE;
+use latchwheel_core::second_attempt::ANSWERS_PER_SECOND_ATTEMPT;
 use latchwheel_http::{full, Client};
 use latchwheel_proxy::{Shared, VerdictSource};
 use std::sync::Arc;
@@ -76,7 +76,7 @@
     }
 
     fn pay(&self) {
-        for _ in 0..ANSWERS_FOR_ONE {
+        for _ in 0..ANSWERS_PER_SECOND_ATTEMPT {
             self.shared.second_attempts().note_answered(RouteKey::of("route"), self.expected(), USUAL);
         }
     }
@@ -315,7 +315,7 @@
     let (host, body) = (HOST.as_bytes(), b"response");
     let content = RequestContent { method: "POST", host, target: "/path/a", caller: b"", body };
     let now = fleet.shared.clock.wall_time();
-    let verdict = Verdict {
+    let verdict = QuarantineEntry {
         request: content.key(),
         changed_at: now,
         until: now + Duration::from_secs(60),
--- a/crates/records/src/contact.rs
+++ b/crates/records/src/contact.rs
@@ -187,7 +187,7 @@
         let mut state = self.lock();
         state.told = Some(ToldContact { heard, answering_since });
         state.told_away = None;
-        let was_held_back = state.breaker.note_told_answering(self.core_time(heard));
+        let was_held_back = state.breaker.note_upstream_answering(self.core_time(heard));
         drop(state);
         if was_held_back {
             self.note_regained();
@@ -198,20 +198,20 @@
     /// here. The next call is made, whatever upstreams tell.
     pub fn note_answered_elsewhere(&self) {
         let now = self.core_time(Instant::now());
-        if self.lock().breaker.note_told_answering(now) {
+        if self.lock().breaker.note_upstream_answering(now) {
             self.note_regained();
         }
     }
 
     /// Upstreams tell that the store has not answered them for that time. If it
     /// answered this process meanwhile, the trouble is theirs alone.
-    pub fn note_told_away(&self, for_time: Duration) {
+    pub fn note_upstream_unreachable(&self, for_time: Duration) {
         let now = self.core_time(Instant::now());
         let mut state = self.lock();
         state.told_away = Some(Instant::now());
         let answers_here = state.heard.is_some_and(|heard| heard.elapsed() < for_time);
         if !answers_here {
-            state.breaker.note_told_away(now, rand::random());
+            state.breaker.note_upstream_unreachable(now, rand::random());
         }
     }
 
--- a/crates/records/src/follow.rs
+++ b/crates/records/src/follow.rs
@@ -2,7 +2,7 @@
 
 use crate::origin::Origin;
 use crate::{Changes, Contact, Listing, RecordStore, RecordsFault};
-use latchwheel_core::retry::doubled_pause;
+use latchwheel_core::retry::exponential_backoff;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -91,7 +91,7 @@
         take(Told::Failed(fault));
         tokio::select! {
             () = contact.regained() => tokio::time::sleep(patience).await,
-            () = tokio::time::sleep(doubled_pause(FIRST_PAUSE, LONGEST_PAUSE, failures)) => {}
+            () = tokio::time::sleep(exponential_backoff(FIRST_PAUSE, LONGEST_PAUSE, failures)) => {}
         }
         failures += 1;
     }
--- a/crates/records/src/registration.rs
+++ b/crates/records/src/registration.rs
@@ -2,7 +2,7 @@
 
 use crate::{Committed, Contact, RecordStore, RecordsFault, Transaction, Write};
 use bytes::Bytes;
-use latchwheel_core::retry::doubled_pause;
+use latchwheel_core::retry::exponential_backoff;
 use std::sync::Arc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -50,7 +50,7 @@
             Err(_) => {
                 tokio::select! {
                     () = contact.regained() => {}
-                    () = tokio::time::sleep(doubled_pause(STORE_PAUSE, longest_pause, failures)) => {}
+                    () = tokio::time::sleep(exponential_backoff(STORE_PAUSE, longest_pause, failures)) => {}
                 }
                 failures += 1;
             }
--- a/crates/records/src/watch_cache.rs
+++ b/crates/records/src/watch_cache.rs
@@ -343,7 +343,7 @@
     fn set_source(&self, upstream: &str, polled: Option<UpstreamState>) {
         let source = lock(&self.choice).source();
         if let (RecordSource::Store, Some(state)) = (source, polled.filter(UpstreamState::store_is_unreachable)) {
-            self.contact.note_told_away(state.age.max(state.outage));
+            self.contact.note_upstream_unreachable(state.age.max(state.outage));
         }
         let changed = self.source.send_if_modified(|present| std::mem::replace(present, source) != source);
         if changed {
--- a/crates/records/tests/contact.rs
+++ b/crates/records/tests/contact.rs
@@ -105,9 +105,9 @@
     let contact = Contact::new(ProbePolicy { calls_per_second: 1.0, nodes: 300, relied_on: false });
     contact.note_answer(Instant::now());
     sleep(Duration::from_millis(700)).await;
-    contact.note_told_away(Duration::from_secs(1));
+    contact.note_upstream_unreachable(Duration::from_secs(1));
     assert!(contact.may_call() && contact.may_call(), "it was answered since");
-    contact.note_told_away(Duration::from_millis(500));
+    contact.note_upstream_unreachable(Duration::from_millis(500));
     let mut allowed = 0;
     for _ in 0..100 {
         allowed += u32::from(contact.may_call());
@@ -140,7 +140,7 @@
 async fn news_at_another_node_lets_the_next_call_through() {
     let policy = ProbePolicy { calls_per_second: 1.0, nodes: 60, relied_on: false };
     let contact = Contact::new(policy);
-    contact.note_told_away(Duration::from_secs(2));
+    contact.note_upstream_unreachable(Duration::from_secs(2));
     let held_back = (0..50).all(|_| !contact.may_call());
     // A probe may fall due at once by chance; the next one is seconds away.
     assert!(held_back || !contact.may_call());
--- a/crates/store/src/lease_desk.rs
+++ b/crates/store/src/lease_desk.rs
@@ -5,7 +5,7 @@
 use latchwheel_core::code::ResultCode;
 use latchwheel_core::identity::NodeId;
 use latchwheel_core::jobs::{Job, JobState, StateKey, StateTable};
-use latchwheel_core::leasing::{Asker, Grant, Leasing, RowWeight};
+use latchwheel_core::leasing::{Grant, LeaseRequester, Leasing, RowWeight};
 use latchwheel_core::time::Instant;
 use latchwheel_protocol::v1::command::Body;
 use latchwheel_protocol::v1::{
@@ -75,7 +75,7 @@
             return Ok(None);
         }
         answer.cancelled_jobs = self.leasing.renew(now, node, &request.held, state);
-        let asker = Asker { node, request: request.request };
+        let asker = LeaseRequester { node, request: request.request };
         let mut starts = Vec::new();
         let open_rows = self.leasing.open_rows();
         for room in &request.rooms {
@@ -149,7 +149,7 @@
     }
 }
 
-fn start_command(grant: &Grant, asker: Asker) -> Command {
+fn start_command(grant: &Grant, asker: LeaseRequester) -> Command {
     let (holder, request) = (asker.node.0, asker.request);
     let start = StartItems { job: grant.job.clone(), positions: grant.positions.clone(), holder, request };
     Command { body: Some(Body::StartItems(start)) }
