--- a/crates/core/src/dispatch/cost.rs
+++ b/crates/core/src/dispatch/cost.rs
@@ -2,7 +2,7 @@
 //!
 //! Speeds are measured from answers; nothing is taken from a description.
 
-use super::pace::SlowdownValidity;
+use super::slowdown::SlowdownValidity;
 use crate::identity::stable_pair_hash;
 use std::time::Duration;
 
--- a/crates/core/src/dispatch/mod.rs
+++ b/crates/core/src/dispatch/mod.rs
@@ -10,32 +10,31 @@
 mod deferrable;
 mod expectation;
 mod failure_rate;
-mod hellos;
+mod heartbeats;
 mod holders;
-mod keeper;
-mod pace;
 mod peers;
 mod queues;
 mod ring;
 mod server;
 mod server_set;
+mod slowdown;
 mod speeds;
+mod tracker;
 
 pub use cost::{Prompt, PromptPart};
 pub use deferrable::{reserve_of, reserve_of_overdue, Congestion, RecentPreemptions, StartBudget};
 pub use expectation::FirstPiece;
-pub use hellos::sends_heartbeat;
+pub use heartbeats::sends_heartbeat;
 pub use holders::{holders_of, is_holder};
-pub use keeper::{select_trackers, tracker_of, TrackerQuery, TrackerReply};
-pub use pace::{Slowdown, SpeedUpdate};
 pub use peers::{Coverage, NodeShares, ServerKey, ServerShare, SharesSum, REPORT_TTL};
 pub use queues::{RouteKey, RouteQueue};
 pub use server::{ServerLoad, ServerReport};
+pub use slowdown::{Slowdown, SpeedUpdate};
+pub use tracker::{select_trackers, tracker_of, TrackerQuery, TrackerReply};
 
 use crate::identity::{stable_hash, NodeId};
 use crate::time::Instant;
 use cost::ServiceCost;
-use keeper::TrackedServers;
 use peers::PeerReports;
 use queues::LocalQueues;
 use ring::ServerRing;
@@ -43,6 +42,7 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
+use tracker::TrackedServers;
 
 /// Bounds on the time that a refused caller is told to wait.
 const COME_BACK_MINIMUM: Duration = Duration::from_millis(50);
@@ -325,7 +325,7 @@
     /// workers that this node hears.
     fn waiting_elsewhere(&self, now: Instant) -> u32 {
         let workers = self.deferring.as_ref().map_or(0, |(_, all)| all.len());
-        let parts = u32::try_from(hellos::parts(workers)).unwrap_or(u32::MAX);
+        let parts = u32::try_from(heartbeats::parts(workers)).unwrap_or(u32::MAX);
         self.peers.waiting_by_sum(now).unwrap_or_else(|| self.peers.waiting_reported(now).saturating_mul(parts))
     }
 
--- a/crates/core/src/dispatch/peers.rs
+++ b/crates/core/src/dispatch/peers.rs
@@ -8,8 +8,8 @@
 //! Where there are too many nodes for each to tell all others, some of them,
 //! the aggregators, are told by all and answer with the sum over all nodes.
 
-use super::pace::SpeedUpdate;
 use super::queues::{PeerQueues, RouteKey, RouteQueue};
+use super::slowdown::SpeedUpdate;
 use crate::identity::{stable_hash, HashKeyMap, NodeId};
 use crate::time::Instant;
 use std::collections::HashMap;
--- a/crates/core/src/dispatch/server.rs
+++ b/crates/core/src/dispatch/server.rs
@@ -2,8 +2,8 @@
 
 use super::cost::{Prompt, ServiceCost};
 use super::failure_rate::{cost_of, FailureRate};
-use super::pace::{ServerSpeed, SpeedUpdate};
 use super::peers::{PeerShare, ServerKey, ServerShare};
+use super::slowdown::{ServerSpeed, SpeedUpdate};
 use super::{Congestion, Ending, Placement, PlacementQuery};
 use crate::directory::ServerRecord;
 use crate::identity::{stable_hash, stable_pair_hash, HashKeyMap};
--- a/crates/core/src/dispatch/speeds.rs
+++ b/crates/core/src/dispatch/speeds.rs
@@ -1,7 +1,7 @@
 //! What is heard of the speed of servers: by answers of their own to this node, and by
 //! other nodes, which tell the keeper of a server.
 
-use super::pace::SpeedUpdate;
+use super::slowdown::SpeedUpdate;
 use super::{Dispatcher, Placement, ServerShare};
 use crate::time::Instant;
 use std::time::Duration;
--- a/crates/core/src/room/mod.rs
+++ b/crates/core/src/headroom/mod.rs
@@ -4,11 +4,11 @@
 //! peak of its callers while others rest. A machine knows its own room, by what its
 //! process uses of the limits, and how much of the others has room, by what they tell.
 
-mod elsewhere;
 mod gauge;
+mod peers;
 
-pub use elsewhere::{PeerHeadroom, PeerHeadroomCounts};
 pub use gauge::{HeadroomChange, HeadroomGauge};
+pub use peers::{PeerHeadroom, PeerHeadroomCounts};
 
 use std::time::Duration;
 
--- a/crates/core/src/key_life.rs
+++ b/crates/core/src/key_acceptance.rs
@@ -4,7 +4,7 @@
 //! snapshot. The node can't hear of it; so it accepts keys for a bounded time only, counted
 //! from when the store last confirmed the snapshot, however late it was taken from a disk.
 
-use crate::start_snapshot::MAX_SNAPSHOT_AGE;
+use crate::startup_snapshot::MAX_SNAPSHOT_AGE;
 use crate::time::Instant;
 use std::time::Duration;
 
--- a/crates/core/src/permits/mod.rs
+++ b/crates/core/src/permits/mod.rs
@@ -15,11 +15,11 @@
 //!   used up to its life later, a node that reaches no home uses a small part of its
 //!   own) is taken from the margin that the operator allows ([`LimitMargin`]).
 
-mod holder;
-mod home;
+mod client;
+mod issuer;
 
-pub use holder::{PermitCall, PermitClient, PermitOutcome, TenantOutcome};
-pub use home::{Grant, PermitIssuer};
+pub use client::{PermitCall, PermitClient, PermitOutcome, TenantOutcome};
+pub use issuer::{Grant, PermitIssuer};
 
 use crate::identity::{stable_pair_hash, NodeId};
 use crate::tenants::{RateLimit, TenantKey};
--- a/crates/core/src/quarantine/evidence.rs
+++ b/crates/core/src/quarantine/evidence.rs
@@ -1,6 +1,6 @@
 //! Weighing which request ended a server.
 
-use super::verdicts::QuarantineStatus;
+use super::entries::QuarantineStatus;
 use crate::dispatch::ServerKey;
 use crate::fingerprint::{Fingerprint, RequestKey};
 use crate::time::Instant;
--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -23,10 +23,10 @@
 //! Everything is bounded, and no request is read for it unless one of its shape is
 //! suspected.
 
+mod entries;
 mod evidence;
 mod holds;
-mod verdicts;
 
+pub use entries::{Quarantine, QuarantineEntry, QuarantineStatus, WatchEnd, QUARANTINE_LIMIT, QUARANTINE_RETENTION};
 pub use evidence::{CrashEvidence, Decisions, CRASHES_TO_QUARANTINE};
 pub use holds::{HOLD_LIMIT, HOLD_TIME, RUN_TIME};
-pub use verdicts::{Quarantine, QuarantineEntry, QuarantineStatus, WatchEnd, QUARANTINE_LIMIT, QUARANTINE_RETENTION};
--- a/crates/core/tests/key_life.rs
+++ b/crates/core/tests/key_acceptance.rs
@@ -1,7 +1,7 @@
 //! Until when keys of a table are accepted that was kept before a start.
 
-use latchwheel_core::key_life::KeyAcceptance;
-use latchwheel_core::start_snapshot::MAX_SNAPSHOT_AGE;
+use latchwheel_core::key_acceptance::KeyAcceptance;
+use latchwheel_core::startup_snapshot::MAX_SNAPSHOT_AGE;
 use latchwheel_core::time::Instant;
 use std::time::Duration;
 
--- a/crates/core/tests/leasing.rs
+++ b/crates/core/tests/leasing.rs
@@ -2,11 +2,11 @@
 //! reach the next leader before that one takes their items for lost. And grants whose
 //! answer comes too late: their start is committed, but no holder runs them.
 
+use latchwheel_core::abandoned_requests::AbandonedRequests;
 use latchwheel_core::identity::NodeId;
 use latchwheel_core::jobs::{Effect, JobState, StateKey, StateTable};
 use latchwheel_core::leasing::{LeaseRequester, Leasing, ABANDONED_REPORT_TIME, LEASE_CALL_TIME, LEASE_LENGTH};
 use latchwheel_core::time::Instant;
-use latchwheel_core::unanswered::AbandonedRequests;
 use latchwheel_protocol::v1::command::Body;
 use latchwheel_protocol::v1::{Command, HeldChunk, JobRecord, StartItems};
 use latchwheel_protocol::Message;
--- a/crates/core/tests/machine_room.rs
+++ b/crates/core/tests/machine_headroom.rs
@@ -1,10 +1,10 @@
 //! Room of machines: small ones that carry a peak, slow ones, and what others believe of
 //! them.
 
-use latchwheel_core::identity::NodeId;
-use latchwheel_core::room::{
+use latchwheel_core::headroom::{
     HeadroomChange, HeadroomGauge, MachineCapacity, PeerHeadroom, PeerHeadroomCounts, ProcessUsage,
 };
+use latchwheel_core::identity::NodeId;
 use latchwheel_core::time::Instant;
 use std::time::Duration;
 
--- a/crates/core/tests/outstanding_ends.rs
+++ b/crates/core/tests/pending_cancellations.rs
@@ -1,6 +1,6 @@
 //! Ends of jobs that a node still owes to its callers.
 
-use latchwheel_core::outstanding_ends::{
+use latchwheel_core::pending_cancellations::{
     GiveUpReason, PendingCancellations, MAX_PENDING_CANCELLATIONS, MAX_RETRY_TIME,
 };
 use latchwheel_core::time::Instant;
--- a/crates/core/tests/give_way.rs
+++ b/crates/core/tests/preemption.rs
@@ -1,6 +1,6 @@
 //! Which run of a batch item gives way to an online request.
 
-use latchwheel_core::give_way::{first_to_preempt, RunOutlook};
+use latchwheel_core::preemption::{first_to_preempt, RunOutlook};
 use latchwheel_core::time::Instant;
 use std::time::Duration;
 
--- a/crates/core/tests/simulation/holder.rs
+++ b/crates/core/tests/simulation/holder.rs
@@ -2,10 +2,10 @@
 //! its engines, and hands the results in until they are committed.
 
 use super::world::{Destination, EngineRun, Happening, LeaseAsk, MachineNumber, Message, World};
+use latchwheel_core::abandoned_requests::AbandonedRequests;
 use latchwheel_core::code::ResultCode;
 use latchwheel_core::leasing::LEASE_LENGTH;
 use latchwheel_core::time::Instant;
-use latchwheel_core::unanswered::AbandonedRequests;
 use latchwheel_protocol::v1::{CompleteItems, CompleteRequest, HeldChunk, ItemResult};
 use rand::Rng;
 use std::collections::BTreeMap;
--- a/crates/core/tests/start_holding.rs
+++ b/crates/core/tests/startup_hold.rs
@@ -1,7 +1,7 @@
 //! Requests that come before a node knows enough.
 
 use latchwheel_core::code::ResultCode;
-use latchwheel_core::start_holding::{Arrival, StartupHold, StartupState, TableState};
+use latchwheel_core::startup_hold::{Arrival, StartupHold, StartupState, TableState};
 use std::time::Duration;
 
 const NOTHING: StartupState = StartupState { table: TableState::Unknown, servers: false, leaving: false };
--- a/crates/core/tests/start_pacing.rs
+++ b/crates/core/tests/startup_pacing.rs
@@ -1,6 +1,6 @@
 //! How fast nodes send after a start, before they know keepers of servers.
 
-use latchwheel_core::start_pacing::{PacedRequest, PacingDecision, StartupPacer};
+use latchwheel_core::startup_pacing::{PacedRequest, PacingDecision, StartupPacer};
 use latchwheel_core::time::Instant;
 use std::collections::VecDeque;
 use std::sync::Arc;
--- a/crates/core/tests/start_snapshot.rs
+++ b/crates/core/tests/startup_snapshot.rs
@@ -1,6 +1,6 @@
 //! Which records that were kept before a start are believed.
 
-use latchwheel_core::start_snapshot::{
+use latchwheel_core::startup_snapshot::{
     is_newer_revision, replaces, snapshot_age, RecordState, StartSnapshots, StoreReachability, MAX_SNAPSHOT_AGE,
     STORE_TIMEOUT,
 };
--- a/crates/jobs/src/asked_ends.rs
+++ b/crates/jobs/src/asked_ends.rs
@@ -10,7 +10,7 @@
 use crate::nodes::Nodes;
 use crate::spool::hand_out_end;
 use crate::spooled_ends::HandedEnd;
-use latchwheel_core::outstanding_ends::{AbandonedCancellation, PendingCancellation, PendingCancellations};
+use latchwheel_core::pending_cancellations::{AbandonedCancellation, PendingCancellation, PendingCancellations};
 use latchwheel_events::{emit, Event};
 use latchwheel_records::RecordStore;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/crates/jobs/src/run_registry.rs
+++ b/crates/jobs/src/run_registry.rs
@@ -2,7 +2,7 @@
 //! at once where an urgent request wants its slot.
 
 use latchwheel_core::dispatch::ServerKey;
-use latchwheel_core::give_way::{first_to_preempt, RunOutlook};
+use latchwheel_core::preemption::{first_to_preempt, RunOutlook};
 use latchwheel_core::time::Instant;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/crates/jobs/src/spooled_ends.rs
+++ b/crates/jobs/src/spooled_ends.rs
@@ -12,7 +12,7 @@
 use crate::spool::{log_not_drained, write_file};
 use hyper::StatusCode;
 use latchwheel_core::identity::stable_hash;
-use latchwheel_core::outstanding_ends::MAX_PENDING_CANCELLATIONS;
+use latchwheel_core::pending_cancellations::MAX_PENDING_CANCELLATIONS;
 use latchwheel_events::{emit, Event};
 use latchwheel_records::RecordStore;
 use serde::{Deserialize, Serialize};
--- a/crates/jobs/tests/spooled_ends.rs
+++ b/crates/jobs/tests/spooled_ends.rs
@@ -1,7 +1,7 @@
 //! An end that the store doesn't take in time lasts on workers' disks, so that it is done
 //! whichever process ends before the store answers again.
 
-use latchwheel_core::outstanding_ends::MAX_PENDING_CANCELLATIONS;
+use latchwheel_core::pending_cancellations::MAX_PENDING_CANCELLATIONS;
 use latchwheel_http::{CallFault, Client};
 use latchwheel_jobs::layout::{job_key, JobRecord, JobState};
 use latchwheel_jobs::{ItemBody, JobBody, JobDesk, NodeRole, Nodes, OwnedJobs, Spool, Submission};
--- a/crates/proxy/src/caller.rs
+++ b/crates/proxy/src/caller.rs
@@ -4,7 +4,7 @@
 use crate::shared::Shared;
 use hyper::header::{HeaderMap, HeaderValue, AUTHORIZATION};
 use latchwheel_core::code::ResultCode;
-use latchwheel_core::key_life::KeyAcceptance;
+use latchwheel_core::key_acceptance::KeyAcceptance;
 use latchwheel_core::routes::RoutingTable;
 use latchwheel_core::tenants::{Tenant, UnknownKey};
 use std::sync::{Arc, MutexGuard, PoisonError};
--- a/crates/proxy/src/machine_room.rs
+++ b/crates/proxy/src/machine_room.rs
@@ -1,10 +1,10 @@
 //! The room of this machine and of the others, measured and told.
 
 use latchwheel_clock::process;
-use latchwheel_core::identity::NodeId;
-use latchwheel_core::room::{
+use latchwheel_core::headroom::{
     Headroom, HeadroomChange, HeadroomGauge, MachineCapacity, PeerHeadroom, PeerHeadroomCounts, ProcessUsage,
 };
+use latchwheel_core::identity::NodeId;
 use latchwheel_core::time::Instant;
 use latchwheel_events::{emit, Event};
 use latchwheel_protocol::v1;
--- a/crates/proxy/src/peers/sums.rs
+++ b/crates/proxy/src/peers/sums.rs
@@ -3,8 +3,8 @@
 use super::{Teller, SHARE_LIMIT};
 use crate::dialect::Dialect;
 use latchwheel_core::dispatch::{NodeShares, SharesSum};
+use latchwheel_core::headroom::PeerHeadroomCounts;
 use latchwheel_core::identity::NodeId;
-use latchwheel_core::room::PeerHeadroomCounts;
 use latchwheel_protocol::{v1, Message};
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/crates/proxy/src/place.rs
+++ b/crates/proxy/src/place.rs
@@ -7,7 +7,7 @@
 use latchwheel_core::code::ResultCode;
 use latchwheel_core::dispatch::{Choice, Placement, PlacementQuery};
 use latchwheel_core::holding::{max_hold, timely_wait};
-use latchwheel_core::start_pacing::PacedRequest;
+use latchwheel_core::startup_pacing::PacedRequest;
 use latchwheel_events::{emit, Event};
 use latchwheel_http::Body;
 use std::sync::Arc;
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -14,7 +14,7 @@
 use latchwheel_core::directory::DirectoryChange;
 use latchwheel_core::dispatch::{Dispatcher, ServerKey};
 use latchwheel_core::holding::HoldOutcomes;
-use latchwheel_core::key_life::KeyAcceptance;
+use latchwheel_core::key_acceptance::KeyAcceptance;
 use latchwheel_core::permits::LimitMargin;
 use latchwheel_core::routes::{Route, RoutingTable, WeightedRoundRobin};
 use latchwheel_core::second_attempt::SecondAttempts;
--- a/crates/proxy/src/start.rs
+++ b/crates/proxy/src/start.rs
@@ -1,6 +1,6 @@
 //! Requests that come before the process knows a table and servers.
 //!
-//! [`latchwheel_core::start_holding`] decides which of them are held, and for how long.
+//! [`latchwheel_core::startup_hold`] decides which of them are held, and for how long.
 
 use crate::dialect::Dialect;
 use crate::shared::Shared;
@@ -8,7 +8,7 @@
 use hyper::header::HeaderMap;
 use hyper::Request;
 use latchwheel_core::code::ResultCode;
-use latchwheel_core::start_holding::{Arrival, StartupHold, StartupState, TableState};
+use latchwheel_core::startup_hold::{Arrival, StartupHold, StartupState, TableState};
 use latchwheel_core::time::Instant as CoreInstant;
 use latchwheel_events::{emit, Event};
 use std::sync::{Mutex, MutexGuard, PoisonError};
--- a/crates/proxy/src/start_pacing.rs
+++ b/crates/proxy/src/start_pacing.rs
@@ -1,10 +1,10 @@
 //! Requests that wait for their turn after a start, before keepers of servers are known.
 //!
-//! [`latchwheel_core::start_pacing`] decides whose turn it is.
+//! [`latchwheel_core::startup_pacing`] decides whose turn it is.
 
 use crate::dialect::Dialect;
 use crate::shared::Shared;
-use latchwheel_core::start_pacing::{PacedRequest, PacingDecision, StartupPacer};
+use latchwheel_core::startup_pacing::{PacedRequest, PacingDecision, StartupPacer};
 use latchwheel_core::time::Instant;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -1,7 +1,7 @@
 //! Nodes that tell each other of their requests by datagrams.
 
 use latchwheel_core::dispatch::{Choice, Placement, PlacementQuery, Prompt, ServerKey};
-use latchwheel_core::room::{MachineCapacity, PeerHeadroomCounts};
+use latchwheel_core::headroom::{MachineCapacity, PeerHeadroomCounts};
 use latchwheel_core::routes::RequestKind;
 use latchwheel_proxy::{exchange_shares, Exchange, Outgoing, Peer, PeerDuties, Peers, Shared};
 use std::sync::Arc;
--- a/crates/proxy/tests/start.rs
+++ b/crates/proxy/tests/start.rs
@@ -5,7 +5,7 @@
 use hyper::header::HeaderMap;
 use latchwheel_clock::Clock;
 use latchwheel_core::routes::{ClientLimits, RequestKind, RoutingTable};
-use latchwheel_core::start_holding::StartupHold;
+use latchwheel_core::startup_hold::StartupHold;
 use latchwheel_core::tenants::Tenants;
 use latchwheel_proxy::Shared;
 use std::collections::HashMap;
--- a/crates/proxy/tests/tenants.rs
+++ b/crates/proxy/tests/tenants.rs
@@ -6,7 +6,7 @@
 use hyper::header::HeaderMap;
 use hyper::{Method, Request};
 use latchwheel_core::routes::{ClientLimits, RequestKind, Route, RoutingTable};
-use latchwheel_core::start_snapshot::MAX_SNAPSHOT_AGE;
+use latchwheel_core::startup_snapshot::MAX_SNAPSHOT_AGE;
 use latchwheel_core::tenants::{RateLimit, Tenant, TenantKey, Tenants};
 use latchwheel_http::{full, Client};
 use latchwheel_proxy::{bearer_key, exchange_shares, PeerDuties, Peers, Shared};
--- a/crates/records/src/entry.rs
+++ b/crates/records/src/entry.rs
@@ -7,7 +7,7 @@
 use crate::told_news::{ListBudget, ToldNews};
 use crate::RecordsFault;
 use latchwheel_clock::Clock;
-use latchwheel_core::start_snapshot::{is_too_old, snapshot_age, RecordState};
+use latchwheel_core::startup_snapshot::{is_too_old, snapshot_age, RecordState};
 use latchwheel_core::time::WallTime;
 use latchwheel_events::{emit, note_records_age, Event};
 use latchwheel_protocol::v1;
--- a/crates/records/src/kept.rs
+++ b/crates/records/src/kept.rs
@@ -1,7 +1,7 @@
 //! Records that were kept before a start: kept on disks, believed where the store answers
 //! nobody, and handed on to upstreams that know nothing, from which all nodes take them.
 //!
-//! [`latchwheel_core::start_snapshot`] decides what is believed. A node without a disk knows
+//! [`latchwheel_core::startup_snapshot`] decides what is believed. A node without a disk knows
 //! only the upstreams at its start, and these have no disk either. So the nodes with a disk
 //! hand on: each polls the upstreams anyway, and an upstream that lacks what a poll says
 //! that the asker knows calls for it in its answer.
@@ -14,7 +14,7 @@
 use bytes::Bytes;
 use hyper::body::Incoming;
 use hyper::{Method, StatusCode};
-use latchwheel_core::start_snapshot::{
+use latchwheel_core::startup_snapshot::{
     is_newer_revision, replaces, snapshot_age, RecordState, StartSnapshots, StoreReachability,
 };
 use latchwheel_core::time::{Instant as CoreInstant, WallTime};
--- a/crates/records/src/watch_cache.rs
+++ b/crates/records/src/watch_cache.rs
@@ -20,7 +20,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use latchwheel_clock::Clock;
 use latchwheel_core::record_source::{PollCondition, RecordSource, SourceSelector, UpstreamState};
-use latchwheel_core::start_snapshot::RecordState;
+use latchwheel_core::startup_snapshot::RecordState;
 use latchwheel_events::{emit, set_known_records, Event};
 use latchwheel_http::{empty, full, read_bounded, serve, AnswerTimes, Body, Client, Version};
 use latchwheel_protocol::{v1, Message};
--- a/crates/records/tests/old_snapshots.rs
+++ b/crates/records/tests/old_snapshots.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use hyper::Method;
-use latchwheel_core::start_snapshot::MAX_SNAPSHOT_AGE;
+use latchwheel_core::startup_snapshot::MAX_SNAPSHOT_AGE;
 use latchwheel_events::metrics_text;
 use latchwheel_http::Client;
 use latchwheel_protocol::{v1, Message};
