--- a/crates/core/src/dispatch/mod.rs
+++ b/crates/core/src/dispatch/mod.rs
@@ -148,7 +148,7 @@
     pub fn choose(&self, now: Instant, ask: &PlacementQuery<'_>) -> Choice {
         let cost = self.services.get(ask.service).copied().unwrap_or_default();
         let key = ask.prompt.affinity_key();
-        let home = key.and_then(|key| self.affinity_server(ask.service, key));
+        let affinity = key.and_then(|key| self.affinity_server(ask.service, key));
         let mut best: Option<(f64, f64, Placement)> = None;
         let mut soonest = f64::INFINITY;
         // Where all others were asked before, one of them is asked again.
@@ -158,7 +158,7 @@
                 continue;
             }
             let view = self.view(now, server);
-            let uncached = server.uncached(now, ask.prompt, home.as_ref() == Some(id));
+            let uncached = server.uncached(now, ask.prompt, affinity.as_ref() == Some(id));
             let wait = view.wait(&cost, ask);
             let total = if ask.deferrable {
                 view.penalty() + view.cost_of_others()
--- a/crates/core/src/dispatch/tracker.rs
+++ b/crates/core/src/dispatch/tracker.rs
@@ -89,7 +89,7 @@
 /// A round over all servers that adds up the free slots of each keeper's.
 #[derive(Debug, Default)]
 struct RoomRound {
-    keepers: Vec<NodeId>,
+    trackers: Vec<NodeId>,
     /// Servers that the round has not looked at.
     left: Vec<Arc<str>>,
     found: Vec<(NodeId, f64)>,
@@ -101,7 +101,7 @@
 #[derive(Debug, PartialEq, Eq)]
 struct KeptFor {
     own: NodeId,
-    keepers: Vec<NodeId>,
+    trackers: Vec<NodeId>,
     servers_version: u64,
 }
 
@@ -131,28 +131,28 @@
     }
     let of_best = candidates.iter().filter(|(_, coverage)| *coverage == best);
     let (deputies, others): (Vec<Coordinator>, Vec<Coordinator>) =
-        of_best.map(|(home, _)| *home).partition(|home| home.fallback);
+        of_best.map(|(coordinator, _)| *coordinator).partition(|coordinator| coordinator.fallback);
     let chosen = if others.is_empty() { deputies } else { others };
-    chosen.into_iter().map(|home| home.node).collect()
+    chosen.into_iter().map(|coordinator| coordinator.node).collect()
 }
 
 /// The keeper of a server among these nodes.
-pub fn tracker_of(server: ServerKey, keepers: &[NodeId]) -> Option<NodeId> {
-    keepers.iter().copied().max_by_key(|keeper| stable_pair_hash(keeper.0, u64::from(server.0)))
+pub fn tracker_of(server: ServerKey, trackers: &[NodeId]) -> Option<NodeId> {
+    trackers.iter().copied().max_by_key(|tracker| stable_pair_hash(tracker.0, u64::from(server.0)))
 }
 
 impl Dispatcher {
-    /// This node is the keeper of the servers that fall to it among `keepers`. Called
+    /// This node is the keeper of the servers that fall to it among `trackers`. Called
     /// again while nothing changed, it looks at no server.
-    pub fn set_tracked(&mut self, own: NodeId, keepers: &[NodeId]) {
-        let present = KeptFor { own, keepers: keepers.to_vec(), servers_version: self.servers_version };
+    pub fn set_tracked(&mut self, own: NodeId, trackers: &[NodeId]) {
+        let present = KeptFor { own, trackers: trackers.to_vec(), servers_version: self.servers_version };
         if self.keeping.kept_for.as_ref() == Some(&present) {
             return;
         }
         self.keeping.kept_for = Some(present);
         self.keeping.kept.clear();
         for (id, server) in self.servers.iter().filter(|(_, server)| server.ready) {
-            if tracker_of(server.key, keepers) == Some(own) {
+            if tracker_of(server.key, trackers) == Some(own) {
                 let service = stable_hash(server.service.as_bytes());
                 self.keeping.kept.entry(service).or_default().insert(server.id_hash, id);
             }
@@ -162,22 +162,22 @@
     /// The keepers with the free slots of their servers, as this node believes. Each
     /// call looks at a bounded number of servers, and gives back what the last round over
     /// all of them found: it decides only which keeper is asked first.
-    pub fn free_slots_of_trackers(&mut self, now: Instant, keepers: &[NodeId]) -> Vec<(NodeId, f64)> {
+    pub fn free_slots_of_trackers(&mut self, now: Instant, trackers: &[NodeId]) -> Vec<(NodeId, f64)> {
         let mut round = std::mem::take(&mut self.keeping.room_round);
-        if round.keepers != keepers {
-            round = RoomRound { keepers: keepers.to_vec(), ..RoomRound::default() };
+        if round.trackers != trackers {
+            round = RoomRound { trackers: trackers.to_vec(), ..RoomRound::default() };
         }
         if round.left.is_empty() {
             let ready = self.servers.iter().filter(|(_, server)| server.ready);
             round.left = ready.map(|(id, _)| id.clone()).collect();
-            round.found = keepers.iter().map(|keeper| (*keeper, 0.0)).collect();
+            round.found = trackers.iter().map(|tracker| (*tracker, 0.0)).collect();
         }
         let step = round.left.len().saturating_sub(ROOM_STEP);
         for id in round.left.split_off(step) {
             let Some(server) = self.servers.get(&id) else { continue };
-            let Some(keeper) = tracker_of(server.key, keepers) else { continue };
+            let Some(tracker) = tracker_of(server.key, trackers) else { continue };
             let free = self.view(now, server).free_for_urgent(0.0).max(0.0);
-            round.found.iter_mut().filter(|(node, _)| *node == keeper).for_each(|(_, room)| *room += free);
+            round.found.iter_mut().filter(|(node, _)| *node == tracker).for_each(|(_, room)| *room += free);
         }
         if round.left.is_empty() || round.told.is_empty() {
             round.told.clone_from(&round.found);
@@ -234,7 +234,7 @@
         let first = kept.all().find_map(|id| self.servers.get(id))?;
         let cost = self.services.get(&first.service).copied().unwrap_or_default();
         let key = ask.prompt.affinity_key();
-        let home = key.and_then(|key| self.affinity_server(&first.service, key));
+        let affinity = key.and_then(|key| self.affinity_server(&first.service, key));
         let mut best: Option<(f64, f64, KeptChoice)> = None;
         for id in kept.sampled_servers(key, ask.spread) {
             let Some(server) = self.servers.get(id).filter(|server| server.ready) else { continue };
@@ -245,7 +245,7 @@
             let view = self.view(now, server);
             let wait = view.exact_wait(&cost, ask.deferrable);
             let preempts = !ask.deferrable && view.is_held_by_deferrable();
-            let uncached = server.uncached(now, ask.prompt, home.as_ref() == Some(id));
+            let uncached = server.uncached(now, ask.prompt, affinity.as_ref() == Some(id));
             let displacing = if preempts { DISPLACE_COST } else { 0.0 };
             let sharing = view.sharing(&cost, ask.prompt.output_tokens);
             let total = wait + view.penalty() + view.reading(&cost, uncached) + sharing + displacing;
@@ -286,9 +286,9 @@
     }
 
     /// The keeper of the server where prompts with this prefix are kept.
-    pub fn tracker_of_prompt(&self, service: &str, prompt: &Prompt, keepers: &[NodeId]) -> Option<NodeId> {
-        let home = self.affinity_server(service, prompt.affinity_key()?)?;
-        tracker_of(self.servers.get(&home)?.key, keepers)
+    pub fn tracker_of_prompt(&self, service: &str, prompt: &Prompt, trackers: &[NodeId]) -> Option<NodeId> {
+        let affinity = self.affinity_server(service, prompt.affinity_key()?)?;
+        tracker_of(self.servers.get(&affinity)?.key, trackers)
     }
 
     /// Seconds to read the part of a prompt that other requests share.
--- a/crates/core/src/permits/client.rs
+++ b/crates/core/src/permits/client.rs
@@ -35,7 +35,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PermitCall {
     /// Home that is asked.
-    pub home: NodeId,
+    pub coordinator: NodeId,
     /// Tenant.
     pub tenant: TenantKey,
     /// Number of the call.
@@ -69,7 +69,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Call {
     number: u64,
-    home: NodeId,
+    coordinator: NodeId,
     sent_at: Instant,
     urgent: u32,
     /// Calls to this home in a row.
@@ -200,15 +200,15 @@
         }
     }
 
-    /// Calls that are to be made now. `homes` are all homes.
-    pub fn calls(&mut self, now: Instant, homes: &[Coordinator]) -> Vec<PermitCall> {
+    /// Calls that are to be made now. `coordinators` are all homes.
+    pub fn calls(&mut self, now: Instant, coordinators: &[Coordinator]) -> Vec<PermitCall> {
         self.tenants.retain(|_, held| held.waiting > 0 || now.since(held.at) < FORGET_AFTER);
         self.silent_until.retain(|_, until| now < *until);
         let mut asks = Vec::new();
         for (tenant, held) in &mut self.tenants {
             let overdue = held.call.filter(|call| now.since(call.sent_at) >= ASK_AGAIN);
             if let Some(call) = overdue.filter(|call| call.calls >= CALLS_TO_ONE_HOME) {
-                self.silent_until.insert(call.home, now + SILENT_TIME);
+                self.silent_until.insert(call.coordinator, now + SILENT_TIME);
                 held.hops = 0;
             }
             let answer_may_come = held.call.is_some() && overdue.is_none();
@@ -219,20 +219,20 @@
             if !held.wants(now) {
                 continue;
             }
-            let mut ordered = coordinators_of(*tenant, homes);
-            ordered.sort_by_key(|home| self.silent_until.contains_key(home));
-            let Some(home) = ordered.get(held.hops % ordered.len().max(1)).copied() else { continue };
-            let calls = overdue.filter(|call| call.home == home).map_or(0, |call| call.calls);
+            let mut ordered = coordinators_of(*tenant, coordinators);
+            ordered.sort_by_key(|coordinator| self.silent_until.contains_key(coordinator));
+            let Some(coordinator) = ordered.get(held.hops % ordered.len().max(1)).copied() else { continue };
+            let calls = overdue.filter(|call| call.coordinator == coordinator).map_or(0, |call| call.calls);
             self.last_number += 1;
             let ask = PermitCall {
-                home,
+                coordinator,
                 tenant: *tenant,
                 number: self.last_number,
                 urgent: held.waiting,
                 ahead: held.ahead(now).saturating_sub(held.stock(now)),
             };
             let (number, urgent) = (ask.number, ask.urgent);
-            held.call = Some(Call { number, home, sent_at: now, urgent, calls: calls + 1 });
+            held.call = Some(Call { number, coordinator, sent_at: now, urgent, calls: calls + 1 });
             asks.push(ask);
         }
         asks
@@ -259,7 +259,7 @@
         let Some(call) = held.call.filter(|call| call.number == number) else { return PermitOutcome::default() };
         held.call = None;
         held.hops = 0;
-        self.silent_until.remove(&call.home);
+        self.silent_until.remove(&call.coordinator);
         let until = call.sent_at + PERMIT_TTL;
         let granted = if now < until { granted } else { 0 };
         let go = granted.min(held.waiting);
@@ -276,7 +276,7 @@
     pub fn note_not_coordinator(&mut self, now: Instant, tenant: TenantKey, number: u64) {
         let Some(held) = self.tenants.get_mut(&tenant) else { return };
         let Some(call) = held.call.filter(|call| call.number == number) else { return };
-        self.silent_until.remove(&call.home);
+        self.silent_until.remove(&call.coordinator);
         held.call = None;
         held.hops += 1;
         if held.hops % HOPS_BEFORE_REST == 0 {
--- a/crates/core/src/permits/issuer.rs
+++ b/crates/core/src/permits/issuer.rs
@@ -87,7 +87,7 @@
     /// for the tenant; `None` if it is not.
     pub fn may_grant(&self, now: Instant, before: &[NodeId]) -> Option<Instant> {
         let since = self.hears_most_since.filter(|_| now.since(self.ticked_at) <= LONGEST_PAUSE)?;
-        match before.iter().filter_map(|home| self.heard.get(&home.0)).max() {
+        match before.iter().filter_map(|coordinator| self.heard.get(&coordinator.0)).max() {
             Some(at) if now.since(*at) < COORDINATOR_TIMEOUT => None,
             Some(at) => Some(since.max(*at)),
             None => Some(since),
--- a/crates/core/src/permits/mod.rs
+++ b/crates/core/src/permits/mod.rs
@@ -81,8 +81,10 @@
 }
 
 /// The homes of a tenant, the one that grants first.
-pub fn coordinators_of(tenant: TenantKey, homes: &[Coordinator]) -> Vec<NodeId> {
-    let mut ordered = homes.to_vec();
-    ordered.sort_unstable_by_key(|home| (home.fallback, stable_pair_hash(home.node.0, tenant.0), home.node));
-    ordered.into_iter().map(|home| home.node).collect()
+pub fn coordinators_of(tenant: TenantKey, coordinators: &[Coordinator]) -> Vec<NodeId> {
+    let mut ordered = coordinators.to_vec();
+    ordered.sort_unstable_by_key(|coordinator| {
+        (coordinator.fallback, stable_pair_hash(coordinator.node.0, tenant.0), coordinator.node)
+    });
+    ordered.into_iter().map(|coordinator| coordinator.node).collect()
 }
--- a/crates/core/tests/admission_schedules.rs
+++ b/crates/core/tests/admission_schedules.rs
@@ -30,13 +30,13 @@
 /// A request at a node, as the node knows it.
 struct Waiting {
     claim: Claim,
-    keeper: usize,
+    tracker: usize,
     heard_at: Instant,
 }
 
 struct World {
     random: SmallRng,
-    keepers: Vec<ClaimQueue>,
+    trackers: Vec<ClaimQueue>,
     waiting: HashMap<ClaimId, Waiting>,
     ended: HashSet<ClaimId>,
     numbers: u64,
@@ -49,7 +49,7 @@
     fn new(seed: u64) -> Self {
         Self {
             random: SmallRng::seed_from_u64(seed),
-            keepers: (0..KEEPERS).map(|_| ClaimQueue::default()).collect(),
+            trackers: (0..KEEPERS).map(|_| ClaimQueue::default()).collect(),
             waiting: HashMap::new(),
             ended: HashSet::new(),
             numbers: 0,
@@ -70,12 +70,12 @@
             }
             self.disturb(now);
             let dead = self.dead;
-            (0..KEEPERS).filter(|keeper| Some(*keeper) != dead).for_each(|keeper| self.serve(now, keeper));
+            (0..KEEPERS).filter(|tracker| Some(*tracker) != dead).for_each(|tracker| self.serve(now, tracker));
             self.ask_again(now);
         }
         assert!(self.waiting.is_empty(), "{} requests wait for ever", self.waiting.len());
-        let alive = (0..KEEPERS).filter(|keeper| Some(*keeper) != self.dead);
-        let left: usize = alive.map(|keeper| self.keepers[keeper].len()).sum();
+        let alive = (0..KEEPERS).filter(|tracker| Some(*tracker) != self.dead);
+        let left: usize = alive.map(|tracker| self.trackers[tracker].len()).sum();
         assert_eq!(left, 0, "claims of nobody stay");
     }
 
@@ -97,12 +97,12 @@
 
     /// A node leaves its claim at a keeper, if the message arrives.
     fn ask(&mut self, now: Instant, claim: Claim) {
-        let keeper = self.random.random_range(0..KEEPERS);
-        self.waiting.insert(claim.id, Waiting { claim, keeper, heard_at: now });
-        if Some(keeper) == self.dead || self.random.random_bool(LOSS) {
+        let tracker = self.random.random_range(0..KEEPERS);
+        self.waiting.insert(claim.id, Waiting { claim, tracker, heard_at: now });
+        if Some(tracker) == self.dead || self.random.random_bool(LOSS) {
             return;
         }
-        let (entry, displaced) = self.keepers[keeper].add(now, claim);
+        let (entry, displaced) = self.trackers[tracker].add(now, claim);
         assert!(displaced.is_none());
         if let Entry::Refused { retry_after, .. } = entry {
             assert!(retry_after > Duration::ZERO);
@@ -115,14 +115,14 @@
         if self.random.random_bool(0.05) {
             let gone = self.waiting.keys().min().copied();
             if let Some(id) = gone {
-                let keeper = self.waiting[&id].keeper;
-                self.keepers[keeper].withdraw(id);
+                let tracker = self.waiting[&id].tracker;
+                self.trackers[tracker].withdraw(id);
                 self.end(id);
             }
         }
         if self.random.random_bool(0.01) {
             let node = NodeId(self.random.random_range(0..NODES));
-            self.keepers.iter_mut().for_each(|keeper| keeper.withdraw_node(node));
+            self.trackers.iter_mut().for_each(|tracker| tracker.withdraw_node(node));
             let of_node: Vec<ClaimId> = self.waiting.keys().filter(|id| id.node == node).copied().collect();
             of_node.into_iter().for_each(|id| self.end(id));
         }
@@ -130,39 +130,39 @@
             let tenant = self.random.random_range(0..4);
             self.precedences[tenant] = self.random.random_range(0..3);
             let precedences = self.precedences;
-            for keeper in &mut self.keepers {
-                keeper.set_precedences(now, |claim| precedences[claim.tenant.0 as usize]);
+            for tracker in &mut self.trackers {
+                tracker.set_precedences(now, |claim| precedences[claim.tenant.0 as usize]);
             }
         }
     }
 
-    fn serve(&mut self, now: Instant, keeper: usize) {
-        for refused in self.keepers[keeper].expire(now) {
-            self.end_if_heard(refused.claim.id, keeper);
+    fn serve(&mut self, now: Instant, tracker: usize) {
+        for refused in self.trackers[tracker].expire(now) {
+            self.end_if_heard(refused.claim.id, tracker);
         }
         let mut slots = self.random.random_range(0..2_usize);
         let place = |_: &Claim| {
             slots = slots.checked_sub(1)?;
             Some(())
         };
-        let granted = self.keepers[keeper].grant(now, place);
+        let granted = self.trackers[tracker].grant(now, place);
         let mut seen = HashSet::new();
         for granted in granted {
             assert!(seen.insert(granted.claim.id), "granted twice by one keeper");
-            self.end_if_heard(granted.claim.id, keeper);
+            self.end_if_heard(granted.claim.id, tracker);
         }
-        for (node, numbers) in self.keepers[keeper].by_node() {
+        for (node, numbers) in self.trackers[tracker].by_node() {
             for number in numbers {
                 if let Some(waiting) = self.waiting.get_mut(&ClaimId { node, number }) {
-                    waiting.heard_at = if waiting.keeper == keeper { now } else { waiting.heard_at };
+                    waiting.heard_at = if waiting.tracker == tracker { now } else { waiting.heard_at };
                 }
             }
         }
     }
 
     /// The keeper's word is lost now and then: then the node asks again.
-    fn end_if_heard(&mut self, id: ClaimId, keeper: usize) {
-        let waits_there = self.waiting.get(&id).is_some_and(|waiting| waiting.keeper == keeper);
+    fn end_if_heard(&mut self, id: ClaimId, tracker: usize) {
+        let waits_there = self.waiting.get(&id).is_some_and(|waiting| waiting.tracker == tracker);
         if waits_there && !self.random.random_bool(LOSS) {
             self.end(id);
         }
@@ -170,10 +170,10 @@
 
     fn ask_again(&mut self, now: Instant) {
         let silent = self.waiting.values().filter(|waiting| now.since(waiting.heard_at) >= SILENCE);
-        let mut silent: Vec<(Claim, usize)> = silent.map(|waiting| (waiting.claim, waiting.keeper)).collect();
+        let mut silent: Vec<(Claim, usize)> = silent.map(|waiting| (waiting.claim, waiting.tracker)).collect();
         silent.sort_unstable_by_key(|(claim, _)| claim.id);
-        for (claim, keeper) in silent {
-            self.keepers[keeper].withdraw(claim.id);
+        for (claim, tracker) in silent {
+            self.trackers[tracker].withdraw(claim.id);
             if now >= claim.waits_until {
                 self.end(claim.id);
             } else {
--- a/crates/core/tests/dispatch.rs
+++ b/crates/core/tests/dispatch.rs
@@ -91,12 +91,12 @@
 #[test]
 fn a_busy_home_is_left_for_an_emptier_server() {
     let mut dispatcher = dispatcher(&["a", "b"]);
-    let home = placed(dispatcher.choose(at(0), &ask(&prompt(1, 1), 0)));
+    let affinity = placed(dispatcher.choose(at(0), &ask(&prompt(1, 1), 0)));
     for _ in 0..40 {
-        dispatcher.note_sent(at(0), &home, &prompt(1, 1));
+        dispatcher.note_sent(at(0), &affinity, &prompt(1, 1));
     }
     let next = placed(dispatcher.choose(at(1), &ask(&prompt(1, 2), 0)));
-    assert_ne!(next.server, home.server);
+    assert_ne!(next.server, affinity.server);
 }
 
 #[test]
--- a/crates/core/tests/limits_and_retries.rs
+++ b/crates/core/tests/limits_and_retries.rs
@@ -33,12 +33,12 @@
 
     #[test]
     fn valid_shares_never_exceed_the_rate(asks in proptest::collection::vec((0u64..8, 0.1f64..500.0, 0u64..3000), 1..100)) {
-        let mut home = ShareIssuer::default();
+        let mut issuer = ShareIssuer::default();
         let mut now = at(0);
         let mut granted: BTreeMap<u64, (f64, Instant)> = BTreeMap::new();
         for (node, demand, pause) in asks {
             now = now + Duration::from_millis(pause);
-            let rate = home.grant(now, "row", 100.0, NodeId(node), demand);
+            let rate = issuer.grant(now, "row", 100.0, NodeId(node), demand);
             granted.insert(node, (rate, now + SHARE_VALIDITY));
             let sum: f64 = granted.values().filter(|(_, until)| *until > now).map(|(rate, _)| rate).sum();
             prop_assert!(sum <= 50.0 + 1e-6, "{sum}");
--- a/crates/core/tests/many_servers.rs
+++ b/crates/core/tests/many_servers.rs
@@ -78,9 +78,9 @@
 /// prompts, each shared part belongs to one in two thousand.
 fn play(servers: usize) -> Played {
     let records: Vec<ServerRecord> = (0..servers).map(record).collect();
-    let mut keeper = Dispatcher::default();
-    keeper.set_ready(records.iter());
-    keeper.set_tracked(KEEPER, &[KEEPER]);
+    let mut tracker = Dispatcher::default();
+    tracker.set_ready(records.iter());
+    tracker.set_tracked(KEEPER, &[KEEPER]);
     let mut random = SmallRng::seed_from_u64(servers as u64);
     let mut running: HashMap<ServerKey, u32> = HashMap::new();
     let mut ends: VecDeque<(u64, ServerKey)> = VecDeque::new();
@@ -92,7 +92,7 @@
             let (_, server) = ends.pop_front().unwrap();
             *running.get_mut(&server).unwrap() -= 1;
             sequence += 1;
-            tell(&mut keeper, now, sequence, server, running[&server]);
+            tell(&mut tracker, now, sequence, server, running[&server]);
         }
         due += if (now / 150) % 2 == 0 { peak * 0.383 / 1.87 } else { peak };
         while due >= 1.0 {
@@ -101,14 +101,14 @@
             let parts = vec![PromptPart { key: shared, tokens: 200 }, PromptPart { key: random.random(), tokens: 50 }];
             let prompt = Prompt { parts, output_tokens: 10 };
             played.asked += 1;
-            match keeper.reserve_server(at(now), &free_slot(&prompt, random.random())) {
+            match tracker.reserve_server(at(now), &free_slot(&prompt, random.random())) {
                 TrackerReply::Send { server, wait, .. } => {
                     let running = running.entry(server).or_default();
                     *running += 1;
                     assert!(*running <= SLOTS, "a request was sent to a full server");
                     let requests = *running;
                     sequence += 1;
-                    tell(&mut keeper, now, sequence, server, requests);
+                    tell(&mut tracker, now, sequence, server, requests);
                     played.at_once += usize::from(wait.is_zero());
                     played.kept += usize::from(read.insert((server, shared), ()).is_some());
                     ends.push_back((now + 60, server));
@@ -122,9 +122,9 @@
 }
 
 /// The front tells what it has at a server; first pieces come within the millisecond.
-fn tell(keeper: &mut Dispatcher, now: u64, sequence: u64, server: ServerKey, requests: u32) {
+fn tell(tracker: &mut Dispatcher, now: u64, sequence: u64, server: ServerKey, requests: u32) {
     let share = ServerShare { server, requests, ..ServerShare::default() };
-    keeper.note_peer_changes(at(now), FRONT, sequence, vec![share]);
+    tracker.note_peer_changes(at(now), FRONT, sequence, vec![share]);
 }
 
 fn free_slot(prompt: &Prompt, spread: u64) -> TrackerQuery<'_> {
--- a/crates/core/tests/permits.rs
+++ b/crates/core/tests/permits.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Message {
     Report,
-    PlacementQuery(PermitCall),
+    PermitCall(PermitCall),
     Grant { tenant: TenantKey, number: u64, granted: u32, retry_after: Duration },
     NotHome { tenant: TenantKey, number: u64 },
 }
@@ -44,7 +44,7 @@
 struct Node {
     id: NodeId,
     holder: PermitClient,
-    home: PermitIssuer,
+    issuer: PermitIssuer,
     down_until: Instant,
     cut: bool,
 }
@@ -84,7 +84,7 @@
         let node = |number: usize| Node {
             id: NodeId::of_name(&format!("node-{number}")),
             holder: PermitClient::default(),
-            home: PermitIssuer::new(now, MARGIN),
+            issuer: PermitIssuer::new(now, MARGIN),
             down_until: now,
             cut: false,
         };
@@ -109,7 +109,7 @@
         Self { random, now, nodes, tenants, arrivals, on_the_way, sent: 0, trouble, outcomes, opened: false }
     }
 
-    fn homes(&self) -> Vec<Coordinator> {
+    fn coordinators(&self) -> Vec<Coordinator> {
         self.nodes[..HOMES].iter().map(|node| Coordinator { node: node.id, fallback: false }).collect()
     }
 
@@ -151,7 +151,7 @@
             }
             if from < HOMES {
                 let others = self.nodes.len() - 1;
-                self.nodes[from].home.tick(self.now, others);
+                self.nodes[from].issuer.tick(self.now, others);
             }
         }
     }
@@ -190,32 +190,32 @@
         if self.nodes[node].down_until > self.now {
             return;
         }
-        let (homes, count) = (self.homes(), self.nodes.len());
+        let (coordinators, count) = (self.coordinators(), self.nodes.len());
         let overdue = self.nodes[node].holder.overdue(self.now, count);
         overdue.into_iter().for_each(|waited| self.settle(waited));
-        for ask in self.nodes[node].holder.calls(self.now, &homes) {
-            let home = homes.iter().position(|home| home.node == ask.home).unwrap();
-            if home == node {
+        for ask in self.nodes[node].holder.calls(self.now, &coordinators) {
+            let coordinator = coordinators.iter().position(|coordinator| coordinator.node == ask.coordinator).unwrap();
+            if coordinator == node {
                 let answer = self.grant(node, &ask);
                 self.take(node, answer);
             } else {
-                self.send(node, home, Message::PlacementQuery(ask));
+                self.send(node, coordinator, Message::PermitCall(ask));
             }
         }
     }
 
     fn grant(&mut self, node: usize, ask: &PermitCall) -> Message {
-        let (homes, now) = (self.homes(), self.now);
+        let (coordinators, now) = (self.coordinators(), self.now);
         let limit = self.tenants[self.number_of(ask.tenant)].limit;
-        let ordered = coordinators_of(ask.tenant, &homes);
+        let ordered = coordinators_of(ask.tenant, &coordinators);
         let state = &mut self.nodes[node];
-        let place = ordered.iter().position(|home| *home == state.id).unwrap();
-        let since = match state.home.may_grant(now, &ordered[..place]) {
+        let place = ordered.iter().position(|coordinator| *coordinator == state.id).unwrap();
+        let since = match state.issuer.may_grant(now, &ordered[..place]) {
             Some(since) => since,
             None if self.trouble.grants_blindly => Instant::from_micros(0),
             None => return Message::NotHome { tenant: ask.tenant, number: ask.number },
         };
-        let grant = state.home.grant(now, ask.tenant, &limit, since, ask.urgent, ask.ahead);
+        let grant = state.issuer.grant(now, ask.tenant, &limit, since, ask.urgent, ask.ahead);
         let (tenant, number) = (ask.tenant, ask.number);
         Message::Grant { tenant, number, granted: grant.granted, retry_after: grant.retry_after }
     }
@@ -229,7 +229,7 @@
             Message::NotHome { tenant, number } => {
                 self.nodes[node].holder.note_not_coordinator(self.now, tenant, number);
             }
-            Message::Report | Message::PlacementQuery(_) => {}
+            Message::Report | Message::PermitCall(_) => {}
         }
     }
 
@@ -245,9 +245,9 @@
             match message {
                 Message::Report => {
                     let heard = self.nodes[from].id;
-                    self.nodes[to].home.note_heard(self.now, heard);
+                    self.nodes[to].issuer.note_heard(self.now, heard);
                 }
-                Message::PlacementQuery(ask) => {
+                Message::PermitCall(ask) => {
                     let answer = self.grant(to, &ask);
                     self.send(to, from, answer);
                 }
@@ -259,7 +259,7 @@
     fn restart(&mut self, node: usize, down: Duration) {
         let up = self.now + down;
         let state = &mut self.nodes[node];
-        (state.holder, state.home, state.down_until) = (PermitClient::default(), PermitIssuer::new(up, MARGIN), up);
+        (state.holder, state.issuer, state.down_until) = (PermitClient::default(), PermitIssuer::new(up, MARGIN), up);
     }
 
     /// Most requests that ran in a window, as a share of what is allowed.
@@ -356,11 +356,11 @@
 #[test]
 fn what_a_home_keeps_grows_with_the_tenants_that_ask_only() {
     let now = Instant::from_micros(60_000_000);
-    let mut home = PermitIssuer::new(now, MARGIN);
+    let mut issuer = PermitIssuer::new(now, MARGIN);
     let limit = RateLimit { per_second: 10.0, burst: 10.0 };
     let mut granted: HashMap<u64, u32> = HashMap::new();
     for number in 0..7_900_u64 {
-        let grant = home.grant(now + Duration::from_secs(10), TenantKey(number), &limit, now, 50, 0);
+        let grant = issuer.grant(now + Duration::from_secs(10), TenantKey(number), &limit, now, 50, 0);
         granted.insert(number, grant.granted);
         assert!(grant.retry_after > Duration::ZERO);
     }
@@ -371,24 +371,24 @@
 #[test]
 fn a_lowered_limit_holds_at_once() {
     let now = Instant::from_micros(60_000_000);
-    let mut home = PermitIssuer::new(now, MARGIN);
+    let mut issuer = PermitIssuer::new(now, MARGIN);
     let (high, low) = (RateLimit { per_second: 100.0, burst: 100.0 }, RateLimit { per_second: 1.0, burst: 1.0 });
     let later = now + Duration::from_secs(10);
-    assert_eq!(home.grant(later, TenantKey(1), &high, now, 10, 0).granted, 10);
-    let after = home.grant(later, TenantKey(1), &low, now, 100, 0).granted;
+    assert_eq!(issuer.grant(later, TenantKey(1), &high, now, 10, 0).granted, 10);
+    let after = issuer.grant(later, TenantKey(1), &low, now, 100, 0).granted;
     assert!(after <= 11, "{after}");
     let second = later + Duration::from_secs(5);
-    assert_eq!(home.grant(second, TenantKey(1), &low, now, 100, 0).granted, 5);
+    assert_eq!(issuer.grant(second, TenantKey(1), &low, now, 100, 0).granted, 5);
 }
 
 #[test]
 fn come_back_times_spread_the_callers() {
     let now = Instant::from_micros(60_000_000);
-    let mut home = PermitIssuer::new(now, MARGIN);
+    let mut issuer = PermitIssuer::new(now, MARGIN);
     let limit = RateLimit { per_second: 10.0, burst: 10.0 };
     let mut times = Vec::new();
     for _ in 0..40 {
-        let grant = home.grant(now, TenantKey(1), &limit, now, 1, 0);
+        let grant = issuer.grant(now, TenantKey(1), &limit, now, 1, 0);
         if grant.granted == 0 {
             times.push(grant.retry_after);
         }
--- a/crates/core/tests/trackers.rs
+++ b/crates/core/tests/trackers.rs
@@ -35,7 +35,7 @@
     }
 }
 
-fn keeper(servers: usize, slots: u32) -> Dispatcher {
+fn tracker(servers: usize, slots: u32) -> Dispatcher {
     let records: Vec<ServerRecord> = (0..servers).map(|number| record(number, slots)).collect();
     let mut dispatcher = Dispatcher::default();
     dispatcher.set_ready(records.iter());
@@ -70,73 +70,78 @@
 
 #[test]
 fn what_is_advised_counts_at_once_and_what_ended_is_free_at_once() {
-    let mut keeper = keeper(2, 2);
+    let mut tracker = tracker(2, 2);
     let prompt = Prompt::default();
-    let mut advised: Vec<ServerKey> = (0..4).map(|_| server_of(&keeper.reserve_server(at(0), &ask(&prompt)))).collect();
+    let mut advised: Vec<ServerKey> =
+        (0..4).map(|_| server_of(&tracker.reserve_server(at(0), &ask(&prompt)))).collect();
     advised.sort_unstable();
     assert!(advised[0] == advised[1] && advised[2] == advised[3] && advised[1] != advised[2], "{advised:?}");
-    assert!(matches!(keeper.reserve_server(at(1), &ask(&prompt)), TrackerReply::Full(wait) if wait > Duration::ZERO));
-    keeper.note_peer_changes(at(2), FRONT, 5, vec![share(advised[0], 1, 0)]);
-    assert_eq!(server_of(&keeper.reserve_server(at(2), &ask(&prompt))), advised[0]);
+    assert!(matches!(tracker.reserve_server(at(1), &ask(&prompt)), TrackerReply::Full(wait) if wait > Duration::ZERO));
+    tracker.note_peer_changes(at(2), FRONT, 5, vec![share(advised[0], 1, 0)]);
+    assert_eq!(server_of(&tracker.reserve_server(at(2), &ask(&prompt))), advised[0]);
 }
 
 /// A removed server is named among those that a keeper keeps until it looks around again.
 #[test]
 fn a_removed_server_leaves_the_others_advised() {
     for removed in 0..3 {
-        let mut keeper = keeper(3, 2);
-        keeper.set_draining(&record(removed, 2).id);
-        let advice = keeper.reserve_server(at(0), &ask(&Prompt::default()));
+        let mut tracker = tracker(3, 2);
+        tracker.set_draining(&record(removed, 2).id);
+        let advice = tracker.reserve_server(at(0), &ask(&Prompt::default()));
         assert!(matches!(advice, TrackerReply::Send { .. }), "{removed}: {advice:?}");
     }
 }
 
 #[test]
 fn what_a_node_tells_replaces_what_it_was_advised() {
-    let mut keeper = keeper(1, 1);
+    let mut tracker = tracker(1, 1);
     let prompt = Prompt::default();
-    let server = server_of(&keeper.reserve_server(at(0), &ask(&prompt)));
+    let server = server_of(&tracker.reserve_server(at(0), &ask(&prompt)));
     // The request was not sent after all.
-    keeper.note_peer(at(5), FRONT, 1, NodeShares::default());
-    assert_eq!(server_of(&keeper.reserve_server(at(6), &ask(&prompt))), server);
+    tracker.note_peer(at(5), FRONT, 1, NodeShares::default());
+    assert_eq!(server_of(&tracker.reserve_server(at(6), &ask(&prompt))), server);
     // A node that is not heard any more counts for nothing.
-    assert!(matches!(keeper.reserve_server(at(7), &ask(&prompt)), TrackerReply::Full(_)));
-    keeper.note_peer(at(3000), WORKER, 1, NodeShares::default());
-    assert_eq!(server_of(&keeper.reserve_server(at(3000), &ask(&prompt))), server);
+    assert!(matches!(tracker.reserve_server(at(7), &ask(&prompt)), TrackerReply::Full(_)));
+    tracker.note_peer(at(3000), WORKER, 1, NodeShares::default());
+    assert_eq!(server_of(&tracker.reserve_server(at(3000), &ask(&prompt))), server);
 }
 
 #[test]
 fn deferrable_work_gives_way_only_where_that_is_allowed() {
-    let mut keeper = keeper(1, 2);
+    let mut tracker = tracker(1, 2);
     let prompt = Prompt::default();
     let server = ServerKey::of("server-0");
     let told = NodeShares { servers: vec![share(server, 2, 2)], ..NodeShares::default() };
-    keeper.note_peer(at(0), WORKER, 1, told);
-    assert!(matches!(keeper.reserve_server(at(1), &ask(&prompt)), TrackerReply::Full(_)));
+    tracker.note_peer(at(0), WORKER, 1, told);
+    assert!(matches!(tracker.reserve_server(at(1), &ask(&prompt)), TrackerReply::Full(_)));
     let displacing = TrackerQuery { may_preempt: true, ..ask(&prompt) };
-    let advice = keeper.reserve_server(at(1), &displacing);
+    let advice = tracker.reserve_server(at(1), &displacing);
     assert!(matches!(advice, TrackerReply::Send { preempts: Some(WORKER), wait: Duration::ZERO, .. }), "{advice:?}");
     // Each request displaces one run, and no more than there are.
-    let second = keeper.reserve_server(at(1), &displacing);
+    let second = tracker.reserve_server(at(1), &displacing);
     assert!(matches!(second, TrackerReply::Send { preempts: Some(WORKER), .. }), "{second:?}");
-    assert!(matches!(keeper.reserve_server(at(1), &displacing), TrackerReply::Full(_)));
+    assert!(matches!(tracker.reserve_server(at(1), &displacing), TrackerReply::Full(_)));
 }
 
 #[test]
 fn deferrable_work_leaves_a_share_of_all_slots_free() {
-    let mut keeper = keeper(5, 2);
+    let mut tracker = tracker(5, 2);
     let prompt = Prompt::default();
     let deferrable = TrackerQuery { deferrable: true, reserve: 0.2, ..ask(&prompt) };
     let placed =
-        (0..10).filter(|_| matches!(keeper.reserve_server(at(0), &deferrable), TrackerReply::Send { .. })).count();
+        (0..10).filter(|_| matches!(tracker.reserve_server(at(0), &deferrable), TrackerReply::Send { .. })).count();
     assert_eq!(placed, 8);
 }
 
 #[test]
 fn nodes_that_hear_best_keep_servers_and_deputies_only_where_no_other_does() {
-    let home = |node, fallback| Coordinator { node: NodeId(node), fallback };
+    let coordinator = |node, fallback| Coordinator { node: NodeId(node), fallback };
     let all = |first, second, fallback| {
-        select_trackers(&[(home(1, false), first), (home(2, false), second), (home(3, true), fallback)])
+        select_trackers(&[
+            (coordinator(1, false), first),
+            (coordinator(2, false), second),
+            (coordinator(3, true), fallback),
+        ])
     };
     assert_eq!(all(Coverage::Enough, Coverage::Enough, Coverage::Enough), [NodeId(1), NodeId(2)]);
     assert_eq!(all(Coverage::Enough, Coverage::Few, Coverage::Enough), [NodeId(1)]);
@@ -147,7 +152,7 @@
 
 #[test]
 fn a_place_is_not_taken_where_the_node_itself_knows_better() {
-    let mut front = keeper(1, 2);
+    let mut front = tracker(1, 2);
     let key = ServerKey::of("server-0");
     let placement = front.place_at(at(0), key, 10, Duration::ZERO, false).unwrap();
     assert_eq!((&*placement.server, placement.uncached, placement.preempts), ("server-0", 10, false));
@@ -165,7 +170,7 @@
     random: SmallRng,
     servers: Vec<VecDeque<Instant>>,
     fronts: Vec<Dispatcher>,
-    keeper: Dispatcher,
+    tracker: Dispatcher,
     sequence: u64,
     ends: Vec<(Instant, usize, Placement)>,
     in_time: usize,
@@ -186,8 +191,8 @@
         Self {
             random: SmallRng::seed_from_u64(seed),
             servers: vec![VecDeque::new(); SERVERS],
-            fronts: (0..FRONTS).map(|_| keeper(SERVERS, SLOTS as u32)).collect(),
-            keeper: keeper(SERVERS, SLOTS as u32),
+            fronts: (0..FRONTS).map(|_| tracker(SERVERS, SLOTS as u32)).collect(),
+            tracker: tracker(SERVERS, SLOTS as u32),
             sequence: 0,
             ends: Vec::new(),
             in_time: 0,
@@ -240,7 +245,7 @@
         let placement = if by_keeper {
             let asker = NodeId(100 + front as u64);
             let ask = TrackerQuery { from: asker, wait_limit: TARGET, spread, ..ask(&prompt) };
-            let server = server_of(&self.keeper.reserve_server(now, &ask));
+            let server = server_of(&self.tracker.reserve_server(now, &ask));
             self.fronts[front].place_at(now, server, 0, Duration::ZERO, false).unwrap()
         } else {
             let ask = PlacementQuery {
@@ -288,7 +293,7 @@
             if by_keeper {
                 self.sequence += 1;
                 let changed = self.fronts[front].take_changes(now);
-                self.keeper.note_peer_changes(now, NodeId(100 + front as u64), self.sequence, changed);
+                self.tracker.note_peer_changes(now, NodeId(100 + front as u64), self.sequence, changed);
             }
         }
     }
--- a/crates/core/tests/uneven_servers.rs
+++ b/crates/core/tests/uneven_servers.rs
@@ -23,7 +23,7 @@
     Instant::from_micros(millis * 1000)
 }
 
-fn keeper() -> Dispatcher {
+fn tracker() -> Dispatcher {
     let record = |number: usize| ServerRecord {
         id: format!("server-{number}").into(),
         service: SERVICE.into(),
@@ -34,10 +34,10 @@
         sequence: 1,
     };
     let records: Vec<ServerRecord> = (0..SERVERS).map(record).collect();
-    let mut keeper = Dispatcher::default();
-    keeper.set_ready(records.iter());
-    keeper.set_tracked(KEEPER, &[KEEPER]);
-    keeper
+    let mut tracker = Dispatcher::default();
+    tracker.set_ready(records.iter());
+    tracker.set_tracked(KEEPER, &[KEEPER]);
+    tracker
 }
 
 fn key(number: usize) -> ServerKey {
@@ -77,13 +77,13 @@
 /// Requests come at a rate for 20 s and are advised by a keeper that hears of each end
 /// at once, with what was seen of the speed if `told`.
 fn play(rate: f64, seed: u64, told: bool) -> Played {
-    let mut keeper = keeper();
+    let mut tracker = tracker();
     let mut random = SmallRng::seed_from_u64(seed);
     let prompt = Prompt { parts: vec![PromptPart { key: 1, tokens: 450 }], output_tokens: PIECES };
     let mut running: HashMap<usize, Vec<(u64, u64, f64)>> = HashMap::new();
     let (mut sequence, mut times) = (0, Vec::new());
     let mut sent = vec![0; SERVERS];
-    keeper.note_peer(at(0), FRONT, 1, Default::default());
+    tracker.note_peer(at(0), FRONT, 1, Default::default());
     for millis in 0..20_000_u64 {
         for number in 0..SERVERS {
             let runs = running.entry(number).or_default();
@@ -103,7 +103,7 @@
                 let age = Duration::from_millis(2);
                 share.speed = SpeedUpdate { pace: Some(Slowdown { percent, age }), step: Some(step) };
             }
-            keeper.note_peer_changes(at(millis), FRONT, sequence + 1, vec![share]);
+            tracker.note_peer_changes(at(millis), FRONT, sequence + 1, vec![share]);
             times.extend(ended.iter().map(|run| (millis - run.0) as f64 / 1000.0));
         }
         if !random.random_bool(rate / 1000.0) {
@@ -120,7 +120,7 @@
             may_preempt: false,
             spread: random.random(),
         };
-        let TrackerReply::Send { server, .. } = keeper.reserve_server(at(millis), &ask) else { panic!("no advice") };
+        let TrackerReply::Send { server, .. } = tracker.reserve_server(at(millis), &ask) else { panic!("no advice") };
         let number = (0..SERVERS).find(|number| key(*number) == server).expect("a server");
         let work = STEP.as_secs_f64() * 1000.0 * f64::from(PIECES);
         running.entry(number).or_default().push((millis, millis, work));
@@ -147,21 +147,21 @@
 
 #[test]
 fn a_told_pace_is_worth_as_much_as_paces_were_seen_to_last() {
-    let mut keeper = keeper();
-    let told = |keeper: &mut Dispatcher, number: u64, millis: u64, percent: u32| {
+    let mut tracker = tracker();
+    let told = |tracker: &mut Dispatcher, number: u64, millis: u64, percent: u32| {
         let speed = SpeedUpdate { pace: Some(Slowdown { percent, age: Duration::ZERO }), step: None };
         let share = ServerShare { server: key(0), speed, ..ServerShare::default() };
-        keeper.note_peer_changes(at(millis), FRONT, number, vec![share]);
+        tracker.note_peer_changes(at(millis), FRONT, number, vec![share]);
     };
-    keeper.note_peer(at(0), FRONT, 1, Default::default());
+    tracker.note_peer(at(0), FRONT, 1, Default::default());
     // Slow for half a second in six, told each 20 ms.
     for number in 0..1500_u64 {
         let percent = if (number * 20) % 3000 < 500 { 250 } else { 100 };
-        told(&mut keeper, number + 2, number * 20, percent);
+        told(&mut tracker, number + 2, number * 20, percent);
     }
-    told(&mut keeper, 2000, 30_000, 250);
+    told(&mut tracker, 2000, 30_000, 250);
     let factor = |millis| {
-        let reports = keeper.reports(at(millis));
+        let reports = tracker.reports(at(millis));
         reports.iter().find(|report| &*report.id == "server-0").and_then(|report| report.time_factor).expect("told")
     };
     let (fresh, later, old) = (factor(30_010), factor(30_300), factor(33_000));
@@ -172,10 +172,10 @@
 
 #[test]
 fn where_no_pace_is_told_nothing_is_learned() {
-    let mut keeper = keeper();
-    keeper.note_peer(at(0), FRONT, 1, Default::default());
+    let mut tracker = tracker();
+    tracker.note_peer(at(0), FRONT, 1, Default::default());
     let speed = SpeedUpdate { pace: None, step: Some(STEP * 5) };
     let share = ServerShare { server: key(0), speed, ..ServerShare::default() };
-    keeper.note_peer_changes(at(1), FRONT, 2, vec![share]);
-    assert!(keeper.reports(at(2)).iter().all(|report| report.time_factor.is_none()));
+    tracker.note_peer_changes(at(1), FRONT, 2, vec![share]);
+    assert!(tracker.reports(at(2)).iter().all(|report| report.time_factor.is_none()));
 }
--- a/crates/proxy/src/peers/duties.rs
+++ b/crates/proxy/src/peers/duties.rs
@@ -242,7 +242,7 @@
 fn by_home(calls: &[PermitCall]) -> HashMap<NodeId, Vec<v1::PermitRequest>> {
     let mut homes: HashMap<NodeId, Vec<v1::PermitRequest>> = HashMap::new();
     for call in calls {
-        homes.entry(call.home).or_default().push(request_of(call));
+        homes.entry(call.coordinator).or_default().push(request_of(call));
     }
     homes
 }
--- a/crates/proxy/src/permits.rs
+++ b/crates/proxy/src/permits.rs
@@ -110,7 +110,7 @@
             state.settle(now, waited.tenant, waited.answered);
         }
         let calls = state.holder.calls(now, homes);
-        let (to_self, to_others): (Vec<_>, Vec<_>) = calls.into_iter().partition(|ask| ask.home == own);
+        let (to_self, to_others): (Vec<_>, Vec<_>) = calls.into_iter().partition(|ask| ask.coordinator == own);
         for ask in to_self {
             let grant = state.answer(now, own, homes, tenants, &request_of(&ask));
             state.take_grant(now, &grant);
