--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies: whole, streamed, and read with bounds.
+//! Request and response bodies: whole, streamed, and reads with limits.
 
 use bytes::{Bytes, BytesMut};
 use futures::StreamExt;
@@ -12,31 +12,31 @@
 
 type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Body of any request or response that the program sends.
+/// Body of every request and response that the program sends.
 pub type Body = UnsyncBoxBody<Bytes, BoxError>;
 
 /// Why a body could not be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyFault {
-    /// It is longer than allowed.
+    /// The body is longer than allowed.
     TooLarge,
-    /// It did not arrive in time.
+    /// The body did not arrive in time.
     Slow,
     /// The connection broke.
     Gone,
 }
 
-/// A whole body.
+/// Creates a body that holds these bytes.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).map_err(|never| match never {}).boxed_unsync()
 }
 
-/// An empty body.
+/// Creates an empty body.
 pub fn empty() -> Body {
     full(Bytes::new())
 }
 
-/// A body that passes another one through.
+/// Converts another body, without reading it.
 pub fn boxed<B>(body: B) -> Body
 where
     B: HyperBody<Data = Bytes> + Send + 'static,
@@ -45,7 +45,7 @@
     body.map_err(Into::into).boxed_unsync()
 }
 
-/// A response with a JSON body.
+/// Creates a response with a JSON body.
 pub fn json(status: u16, value: &impl Serialize) -> Response<Body> {
     let bytes = serde_json::to_vec(value).unwrap_or_default();
     let mut response = Response::new(full(bytes));
@@ -55,29 +55,29 @@
     response
 }
 
-/// The sending side of a streamed body. Dropping it ends the body; sending
-/// an error breaks it off, so that the reader sees that it is not whole.
+/// The sending side of a streamed body. Dropping the sender completes the body;
+/// [`BodySender::abort`] ends it with an error, so that the reader sees that it is incomplete.
 #[derive(Debug)]
 pub struct BodySender(mpsc::Sender<Result<Bytes, BoxError>>);
 
 impl BodySender {
-    /// Sends a piece; `false` means that the reader is gone.
+    /// Sends a chunk; returns `false` if the reader is gone.
     pub async fn send(&self, bytes: impl Into<Bytes>) -> bool {
         self.0.send(Ok(bytes.into())).await.is_ok()
     }
 
-    /// Breaks the body off.
+    /// Ends the body with an error.
     pub async fn abort(&self) {
-        let _ = self.0.send(Err("the stream was cut".into())).await;
+        let _ = self.0.send(Err("the stream was aborted".into())).await;
     }
 
-    /// Completes once the reader is gone.
+    /// Waits until the reader is gone.
     pub async fn closed(&self) {
         self.0.closed().await;
     }
 }
 
-/// A streamed body that holds up to `pieces` unsent pieces.
+/// Creates a streamed body that buffers up to `pieces` unsent chunks.
 pub fn channel(pieces: usize) -> (BodySender, Body) {
     let (sender, mut receiver) = mpsc::channel(pieces);
     let stream = futures::stream::poll_fn(move |context| receiver.poll_recv(context));
@@ -85,10 +85,10 @@
     (BodySender(sender), StreamBody::new(frames).boxed_unsync())
 }
 
-/// Reads a whole body of at most `limit` bytes in at most `time`.
+/// Reads a whole body of at most `limit` bytes within `time`.
 ///
 /// # Errors
-/// [`BodyFault`].
+/// [`BodyFault`] if the body is too long, late or broken off.
 pub async fn read_bounded<B>(body: B, limit: usize, time: Duration) -> Result<Bytes, BodyFault>
 where
     B: HyperBody<Data = Bytes> + Unpin,
@@ -96,11 +96,11 @@
     read_with_timeouts(body, limit, time, time).await
 }
 
-/// Reads a whole body of at most `limit` bytes in at most `time`, as long as no pause
-/// between two of its pieces is longer than `pause`.
+/// Reads a whole body of at most `limit` bytes within `total`; fails earlier if no chunk
+/// arrives for `idle`.
 ///
 /// # Errors
-/// [`BodyFault`].
+/// [`BodyFault`] if the body is too long, late or broken off.
 pub async fn read_with_timeouts<B>(
     mut body: B,
     limit: usize,
--- a/crates/http/src/client.rs
+++ b/crates/http/src/client.rs
@@ -1,4 +1,4 @@
-//! Pooled clients.
+//! HTTP client with pooled connections.
 
 use crate::body::{full, read_with_timeouts, Body};
 use bytes::Bytes;
@@ -15,17 +15,17 @@
 
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
-/// Most bytes of an answer that is read whole.
+/// Longest answer that a client reads whole.
 const MAX_ANSWER_BYTES: usize = 64 << 20;
 
-/// Why a call brought no answer.
+/// Why a call failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallFault {
-    /// No connection could be made: no byte of the request was sent.
+    /// No connection could be made, so no byte of the request was sent.
     NotSent,
-    /// The request may have arrived.
+    /// The request may have reached the server.
     MaybeSent,
-    /// An answer came, but not the expected one.
+    /// Status and body of an unexpected answer.
     BadAnswer(u16, Bytes),
 }
 
@@ -33,7 +33,7 @@
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             CallFault::NotSent => write!(formatter, "no connection"),
-            CallFault::MaybeSent => write!(formatter, "the connection broke"),
+            CallFault::MaybeSent => write!(formatter, "no complete answer"),
             CallFault::BadAnswer(status, _) => write!(formatter, "unexpected answer with status {status}"),
         }
     }
@@ -41,42 +41,40 @@
 
 impl std::error::Error for CallFault {}
 
-/// Times that an answer may take.
+/// Timeouts of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AnswerTimeouts {
-    /// Until its head is there, and between two pieces of its body.
+    /// Longest wait for the head of the answer, and between two chunks of its body.
     pub idle: Duration,
-    /// For all of it.
+    /// Longest time for the whole call.
     pub total: Duration,
 }
 
 type Pool = PooledClient<HttpConnector, Body>;
 
-/// A pooled client. Clones share their connections.
+/// An HTTP client. Clones share its connection pool.
 #[derive(Clone, Debug)]
 pub struct Client {
     pool: Arc<RwLock<Pool>>,
-    /// Makes the pool that follows one whose connections may be dead.
+    /// Creates a new pool when the connections of the present one may be dead.
     make_pool: Option<fn() -> Pool>,
 }
 
 impl Client {
-    /// A client that speaks HTTP/1.1.
+    /// Creates a client that uses HTTP/1.1.
     pub fn http1() -> Self {
         Self::of(new_pool(false, None), None)
     }
 
-    /// The same for few peers, each of which is needed: after a call that was not answered
-    /// in time the next ones make new connections. Where one connection has died without a
-    /// word the idle ones may have too, and trying each would take a call's time: with four
-    /// idle connections to a store and 1.5 s a call, 6 s (test
-    /// `after_a_silence_no_old_connection_is_used`).
+    /// Creates an HTTP/1.1 client that discards all pooled connections after a call without a
+    /// complete answer. The other idle connections may be dead too, and every later call on
+    /// one of them would wait for its timeout.
     pub fn http1_reconnecting() -> Self {
         Self::of(new_pool(false, None), Some(|| new_pool(false, None)))
     }
 
-    /// A client that speaks HTTP/2 with prior knowledge, from a local
-    /// address if one is given.
+    /// Creates a client that uses HTTP/2 with prior knowledge, bound to the local address
+    /// if one is given.
     pub fn http2(local: Option<IpAddr>) -> Self {
         Self::of(new_pool(true, local), None)
     }
@@ -89,7 +87,7 @@
         self.pool.read().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// The fault of a call that was not answered in time, or not to its end.
+    /// Returns the fault of a call without a complete answer, and replaces the pool if configured.
     fn unanswered(&self) -> CallFault {
         if let Some(make_pool) = self.make_pool {
             *self.pool.write().unwrap_or_else(PoisonError::into_inner) = make_pool();
@@ -111,10 +109,10 @@
         })
     }
 
-    /// Sends a request and reads the whole answer, within a time.
+    /// Sends a request and reads the whole answer within `time`.
     ///
     /// # Errors
-    /// [`CallFault`]; a status other than 2xx is `BadAnswer`.
+    /// [`CallFault`]; `BadAnswer` for a status other than 2xx.
     pub async fn call(
         &self,
         method: Method,
@@ -126,7 +124,7 @@
         self.call_with_timeouts(method, address, path, body, AnswerTimeouts { idle: time, total: time }).await
     }
 
-    /// Sends a request and reads the whole answer, for as long as it moves.
+    /// Sends a request and reads the whole answer, with separate idle and total timeouts.
     ///
     /// # Errors
     /// As [`Client::call`].
@@ -159,10 +157,10 @@
         tokio::time::timeout(timeouts.total, exchange).await.unwrap_or_else(|_| Err(self.unanswered()))
     }
 
-    /// Sends JSON and reads JSON.
+    /// Sends a JSON body and parses the JSON answer.
     ///
     /// # Errors
-    /// As [`Client::call`]; an answer that is no such JSON is `BadAnswer`.
+    /// As [`Client::call`]; also `BadAnswer` if the answer can't be parsed.
     pub async fn json<T: DeserializeOwned>(
         &self,
         method: Method,
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,7 +1,7 @@
-//! Shared helpers over hyper: serving, calling, bounded bodies.
+//! HTTP server, client and bodies with limits, on top of hyper.
 //!
-//! Towards callers, engines, platform and operators the program speaks
-//! HTTP/1.1, between its own processes HTTP/2 with prior knowledge.
+//! Callers, engines, the platform and operators are connected over HTTP/1.1; the processes
+//! of the system use HTTP/2 with prior knowledge among themselves.
 
 mod body;
 mod client;
--- a/crates/http/src/server.rs
+++ b/crates/http/src/server.rs
@@ -1,4 +1,4 @@
-//! Serving of a listener until it is told to stop.
+//! HTTP server with graceful shutdown.
 
 use crate::body::Body;
 use hyper::body::Incoming;
@@ -11,15 +11,15 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// Time in which the head of a request must arrive; it counts from the end of
-/// the answer before, so that an idle connection is closed after it.
+/// Time in which the head of a request must arrive, counted from the end of the previous
+/// answer: it also closes idle connections.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// Streams that one HTTP/2 connection may carry at once.
+/// Concurrent streams allowed on one HTTP/2 connection.
 const MAX_STREAMS_PER_CONNECTION: u32 = 10_000;
-/// Pause after a failed accept (too many open files, for instance).
+/// Delay after a failed accept, for example with too many open files.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Version of HTTP that a listener speaks.
+/// HTTP version of a listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Version {
     /// HTTP/1.1.
@@ -28,8 +28,8 @@
     Http2,
 }
 
-/// Serves connections until `stop` becomes true. Then it accepts no more,
-/// lets the requests in progress finish, and returns once all are done.
+/// Serves connections until `stop` becomes true, then stops accepting and returns when all
+/// requests in progress are done.
 pub async fn serve<H, F>(listener: TcpListener, version: Version, stop: watch::Receiver<bool>, handler: H)
 where
     H: Fn(Request<Incoming>) -> F + Clone + Send + Sync + 'static,
@@ -38,8 +38,8 @@
     serve_with_idle_timeout(listener, version, stop, || HEAD_TIMEOUT, handler).await;
 }
 
-/// As [`serve`]; a connection may rest for the time that `idle_timeout` tells when it
-/// is accepted, and is closed after it.
+/// As [`serve`], with an idle timeout that `idle_timeout` returns for each accepted
+/// connection.
 pub async fn serve_with_idle_timeout<R, H, F>(
     listener: TcpListener,
     version: Version,
@@ -93,7 +93,7 @@
     let stopped = async move {
         let _ = stop.wait_for(|stop| *stop).await;
     };
-    // A broken connection is the peer's matter: its requests see it.
+    // Errors of a connection are ignored: the handlers of its requests see them.
     match version {
         Version::Http1 => {
             let connection = hyper::server::conn::http1::Builder::new()
--- a/crates/http/tests/stalled_connections.rs
+++ b/crates/http/tests/stalled_connections.rs
@@ -1,5 +1,4 @@
-//! Connections that die without a word: neither side is told, and what is sent on them is
-//! never answered, while new ones work.
+//! Connections that stall without an error, while new connections work.
 
 use bytes::Bytes;
 use futures::future::join_all;
@@ -14,16 +13,16 @@
 
 const CONNECTIONS: usize = 4;
 const LONG_TIMEOUT: Duration = Duration::from_secs(30);
-/// A call on a dead connection is given up after this time.
+/// Timeout of a call on a stalled connection.
 const SHORT_TIMEOUT: Duration = Duration::from_millis(200);
 const ANSWER: &[u8] = b"HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
 
-/// A server whose first connections can be made silent.
+/// A server that can stop answering on its first connections.
 #[derive(Clone)]
 struct Server {
     accepted: Arc<AtomicUsize>,
     stalled: Arc<AtomicBool>,
-    /// Holds the first answers until all connections carry a call.
+    /// Delays the first answers until every connection has a call.
     first_answers_barrier: Arc<Barrier>,
 }
 
@@ -66,8 +65,7 @@
     client.call(Method::GET, address, "/", Bytes::new(), time).await
 }
 
-/// Several idle connections have died. One call is lost to find that out; the next one is
-/// answered on a new connection.
+/// Guards against calls that fail one after the other on several stalled connections.
 #[tokio::test]
 async fn idle_connections_are_not_reused_after_a_timeout() {
     let (server, address) = Server::start().await;
@@ -75,8 +73,8 @@
     let calls = (0..CONNECTIONS).map(|_| call(&client, &address, LONG_TIMEOUT));
     assert!(join_all(calls).await.iter().all(Result::is_ok));
     assert_eq!(server.accepted.load(Ordering::SeqCst), CONNECTIONS);
-    // The pool takes its connections back a moment after the answers: a call that makes a
-    // new one meanwhile is answered, and then the next one is tried.
+    // Connections return to the pool shortly after their answers; a call in between opens a
+    // new connection and succeeds.
     server.stalled.store(true, Ordering::SeqCst);
     while call(&client, &address, SHORT_TIMEOUT).await.is_ok() {}
     assert!(call(&client, &address, LONG_TIMEOUT).await.is_ok());
