--- a/crates/site/src/key_value.rs
+++ b/crates/site/src/key_value.rs
@@ -6,35 +6,35 @@
 use std::time::Duration;
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The service itself bounds a watch to ten seconds.
+/// Longer than the ten seconds after which the service ends a watch.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// A value with its version.
+/// A key with its value and version.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct VersionedValue {
     /// Key.
     pub key: String,
     /// Value.
     pub value: String,
-    /// Version: every write has a higher one.
+    /// Version; each write increases it.
     pub version: u64,
 }
 
-/// What a compare-and-swap came to.
+/// Outcome of a compare-and-swap.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
     /// The value was written.
     Written(VersionedValue),
-    /// The key has another version.
+    /// The key has another version; nothing was written.
     VersionMismatch(VersionedValue),
 }
 
 /// Why a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyValueFault {
-    /// The call had no effect.
+    /// The service did not answer, and the call had no effect.
     Unavailable,
-    /// It can't be told whether the call had an effect.
+    /// The call may have had an effect.
     OutcomeUnknown,
 }
 
@@ -74,7 +74,7 @@
 }
 
 impl KeyValueClient {
-    /// A client for the service at an address.
+    /// Creates a client for the service at an address.
     pub fn new(address: String) -> Self {
         Self { client: Client::http1(), address }
     }
@@ -82,7 +82,7 @@
     /// Reads a key.
     ///
     /// # Errors
-    /// [`KeyValueFault`].
+    /// [`KeyValueFault`] if the service does not answer as expected.
     pub async fn read(&self, key: &str) -> Result<Option<VersionedValue>, KeyValueFault> {
         let path = format!("/v1/keys/{key}");
         match self.client.json(Method::GET, &self.address, &path, &(), CALL_TIMEOUT).await {
@@ -92,10 +92,10 @@
         }
     }
 
-    /// Writes a key that has this version; zero means that it is absent.
+    /// Writes a key if it has this version; zero stands for an absent key.
     ///
     /// # Errors
-    /// [`KeyValueFault`].
+    /// [`KeyValueFault`] if the service does not answer as expected.
     pub async fn write(&self, key: &str, value: &str, version: u64) -> Result<WriteOutcome, KeyValueFault> {
         let path = format!("/v1/keys/{key}");
         let body = WriteBody { value, version };
@@ -109,10 +109,10 @@
         }
     }
 
-    /// Reads up to a thousand keys with a prefix, behind a key.
+    /// Reads up to a thousand keys with a prefix, starting after a key.
     ///
     /// # Errors
-    /// [`KeyValueFault`].
+    /// [`KeyValueFault`] if the service does not answer as expected.
     pub async fn range(&self, prefix: &str, after: &str) -> Result<Vec<VersionedValue>, KeyValueFault> {
         let path = format!("/v1/range?prefix={prefix}&after={after}");
         let answer: Result<RangeAnswer, CallFault> =
@@ -120,11 +120,11 @@
         answer.map(|answer| answer.values).map_err(|_| KeyValueFault::Unavailable)
     }
 
-    /// Waits, for a bounded time, until anything changes after a version;
-    /// gives the present version.
+    /// Waits for a change after a version, at most as long as the service allows; returns
+    /// the current version.
     ///
     /// # Errors
-    /// [`KeyValueFault`].
+    /// [`KeyValueFault`] if the service does not answer as expected.
     pub async fn watch(&self, since: u64) -> Result<u64, KeyValueFault> {
         let path = format!("/v1/watch?since={since}");
         let answer: Result<WatchAnswer, CallFault> =
@@ -132,11 +132,11 @@
         answer.map(|answer| answer.version).map_err(|_| KeyValueFault::Unavailable)
     }
 
-    /// Takes or renews a lease; gives its fencing epoch, or `None` where
-    /// another holds it.
+    /// Acquires or renews a lease; returns its fencing epoch, or `None` if another holder
+    /// has it.
     ///
     /// # Errors
-    /// [`KeyValueFault`].
+    /// [`KeyValueFault`] if the service does not answer as expected.
     pub async fn lease(&self, key: &str, holder: &str, time: Duration) -> Result<Option<u64>, KeyValueFault> {
         let body = LeaseBody { key, holder, milliseconds: time.as_millis() as u64 };
         let answer: Result<LeaseAnswer, CallFault> =
--- a/crates/site/src/lib.rs
+++ b/crates/site/src/lib.rs
@@ -1,4 +1,4 @@
-//! Clients of the platform: key-value service, machine list, weight store.
+//! Clients of the platform's key-value service, machine list and weight store.
 
 mod key_value;
 mod machine;
--- a/crates/site/src/machine.rs
+++ b/crates/site/src/machine.rs
@@ -1,5 +1,5 @@
-//! The platform's list of machines. It lags: a seed for membership, not the
-//! truth.
+//! Client of the platform's machine list. The list lags; membership uses it only to find
+//! its first members.
 
 use hyper::Method;
 use latchwheel_http::{CallFault, Client};
@@ -7,10 +7,10 @@
 use std::time::Duration;
 
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// The list itself bounds a wait to five seconds.
+/// Longer than the five seconds after which the list ends a wait.
 const LIST_TIMEOUT: Duration = Duration::from_secs(8);
 
-/// What a machine is for.
+/// Purpose of a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineKind {
@@ -24,9 +24,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum MachineState {
-    /// It works.
+    /// In service.
     Live,
-    /// It takes no new work and will be gone soon.
+    /// Draining: takes no new work and leaves soon.
     Leaving,
 }
 
@@ -36,29 +36,29 @@
 pub struct Machine {
     /// Name.
     pub name: String,
-    /// What it is for.
+    /// Purpose.
     pub kind: MachineKind,
-    /// Address of its service.
+    /// Address that it serves on.
     pub address: String,
     /// Zone.
     pub zone: String,
     /// Region.
     pub region: String,
-    /// Service that an engine belongs to.
+    /// Service of an engine; empty for a node.
     #[serde(default)]
     pub service: String,
     /// State.
     pub state: MachineState,
 }
 
-/// What the list shows of a region.
+/// The listed machines of a region.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RegionMachines {
-    /// Version of what is shown; changes with it.
+    /// Version of this content.
     pub version: u64,
-    /// Zones of the region with any machine.
+    /// Zones of the region that have machines.
     pub zones: Vec<String>,
-    /// All nodes of the region, and the engines of the zones asked for.
+    /// All nodes of the region, and the engines of the requested zones.
     pub machines: Vec<Machine>,
 }
 
@@ -70,17 +70,17 @@
 }
 
 impl MachineListClient {
-    /// A client for the list at an address.
+    /// Creates a client for the list at an address.
     pub fn new(address: String) -> Self {
         Self { client: Client::http1(), address }
     }
 
-    /// The nodes of a region and the engines of some of its zones, once their
-    /// version is another than `known_version`; `None` if it stays the same for as
-    /// long as the list waits.
+    /// Waits until the version differs from `known_version`, then returns the nodes of a
+    /// region and the engines of some of its zones; `None` if nothing changed before the
+    /// list ended the wait.
     ///
     /// # Errors
-    /// [`CallFault`] where the list does not answer.
+    /// [`CallFault`] if the list does not answer.
     pub async fn machines(
         &self,
         region: &str,
@@ -97,11 +97,11 @@
         }
     }
 
-    /// Enters a machine into a stand-in's list; real platforms do so
+    /// Adds a machine to the list of an emulated platform; real platforms maintain the list
     /// themselves.
     ///
     /// # Errors
-    /// [`CallFault`] where the list does not answer.
+    /// [`CallFault`] if the list does not answer.
     pub async fn register(&self, machine: &Machine) -> Result<(), CallFault> {
         let answer: serde_json::Value =
             self.client.json(Method::POST, &self.address, "/admin/machines", machine, CALL_TIMEOUT).await?;
--- a/crates/site/src/weights.rs
+++ b/crates/site/src/weights.rs
@@ -20,16 +20,15 @@
 }
 
 impl WeightClient {
-    /// A client for the store at an address.
+    /// Creates a client for the store at an address.
     pub fn new(address: String) -> Self {
         Self { client: Client::http1(), address }
     }
 
-    /// Size in bytes of a model's weights, if the store's rate allows a load
-    /// now.
+    /// Requests a load of a model; returns the size of its weights in bytes.
     ///
     /// # Errors
-    /// [`CallFault`]; status 429 means that the rate is used up.
+    /// [`CallFault`]; status 429 if the store's rate limit is reached.
     pub async fn begin_load(&self, model: &str) -> Result<u64, CallFault> {
         let path = format!("/v1/weights/{model}");
         let answer: WeightsAnswer = self.client.json(Method::GET, &self.address, &path, &(), CALL_TIMEOUT).await?;
