--- a/crates/events/src/budget.rs
+++ b/crates/events/src/budget.rs
@@ -1,15 +1,15 @@
-//! The budget of lines.
+//! Line budget: limits the log lines per second.
 
 use crate::event::Importance;
 
-/// Lines a second that are written of all requests.
+/// Lines per second up to which no line is sampled.
 const UNSAMPLED_LINES_PER_SECOND: u32 = 60;
-/// Routine lines beyond that are written for one request in so many.
+/// Beyond that, routine lines are written for one request in this many.
 const SAMPLE_INTERVAL: u64 = 16;
-/// Lines a second beyond which even failures are only counted.
+/// Lines per second beyond which every line is dropped.
 const MAX_LINES_PER_SECOND: u32 = 400;
 
-/// Counts the lines of the present second.
+/// Counts the lines of the current second.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LineBudget {
     second: u64,
@@ -18,8 +18,8 @@
 }
 
 impl LineBudget {
-    /// Whether a line may be written in that second; `sample` is a hash of
-    /// the request, the same on every node.
+    /// Whether a line may be written in this second; `sample` is a hash of the request id,
+    /// the same on every node.
     pub fn admit(&mut self, second: u64, weight: Importance, sample: u64) -> bool {
         if second != self.second {
             self.second = second;
@@ -40,7 +40,7 @@
         admitted
     }
 
-    /// Lines dropped since the last call.
+    /// Returns the number of lines dropped since the last call.
     pub fn take_dropped(&mut self) -> u64 {
         std::mem::take(&mut self.dropped)
     }
--- a/crates/events/src/event.rs
+++ b/crates/events/src/event.rs
@@ -1,29 +1,29 @@
-//! The events.
+//! Typed log events and their catalogue.
 
 use serde::Serialize;
 
-/// Whether an event may be left out when there are too many.
+/// Whether an event may be sampled when there are too many.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Importance {
-    /// One of many of a request that went well; sampled by request.
+    /// Frequent event of normal operation; sampled by request.
     Routine,
-    /// A failure or a change of what the process believes.
+    /// A failure or a change of state; never sampled.
     Essential,
 }
 
-/// How an item of a batch job ended.
+/// Outcome of an item of a batch job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ItemOutcome {
-    /// With its whole output.
+    /// The item has its complete output.
     Completed,
-    /// Given up.
+    /// The item failed for good.
     GivenUp,
 }
 
 macro_rules! events {
     ($($(#[doc = $text:literal])+ $name:ident = $number:literal, $weight:ident { $($(#[doc = $field_text:literal])+ $field:ident : $type:ty),* $(,)? };)+) => {
-        /// An event; fields of time are in milliseconds.
+        /// A log event; durations are in milliseconds.
         #[derive(Clone, Debug, Serialize)]
         #[serde(untagged)]
         pub enum Event<'a> {
@@ -31,11 +31,11 @@
         }
 
         impl Event<'_> {
-            /// Number, name, whether it may be left out, and meaning of every event.
+            /// Number, name, importance and meaning of every event.
             pub const CATALOGUE: &'static [(u32, &'static str, Importance, &'static str)] =
                 &[$(($number, stringify!($name), Importance::$weight, concat!($($text),+))),+];
 
-            /// Number, name and weight.
+            /// Number, name and importance of this event.
             pub fn kind(&self) -> (u32, &'static str, Importance) {
                 match self { $(Event::$name { .. } => ($number, stringify!($name), Importance::$weight)),+ }
             }
@@ -48,858 +48,859 @@
     Started = 8000, Essential {
         /// Role of the process.
         role: &'a str,
-        /// Version of the program.
+        /// Program version.
         version: &'a str,
-        /// Addresses that it serves on.
+        /// Listen addresses.
         listens: &'a str
     };
     /// A planned stop begins.
     Stopping = 8001, Essential {
-        /// Time that is left for requests in progress.
+        /// Time left for requests in progress.
         grace_ms: u64
     };
     /// The process ends.
     Stopped = 8002, Essential {
-        /// Requests that were still in progress.
+        /// Requests still in progress.
         unfinished: usize
     };
     /// The settings were read again.
     Reloaded = 8003, Essential {
-        /// Whether anything differs.
+        /// Whether any setting changed.
         changed: bool
     };
-    /// Lines of the log were dropped.
+    /// Log lines were dropped.
     LinesDropped = 8004, Essential {
-        /// Lines beyond the budget.
+        /// Lines dropped because of the line budget.
         over_budget: u64,
-        /// Lines that the reader did not take.
+        /// Lines dropped because the reader of the log is slow or a line is too long.
         not_taken: u64
     };
     /// A dependency does not answer.
     DependencyLost = 8010, Essential {
-        /// What it is.
+        /// Name of the dependency.
         dependency: &'a str,
-        /// Why.
+        /// Reason.
         reason: &'a str
     };
     /// A dependency answers again.
     DependencyRegained = 8011, Essential {
-        /// What it is.
+        /// Name of the dependency.
         dependency: &'a str,
-        /// Time that it was away.
+        /// Length of the outage.
         away_ms: u64
     };
-    /// Followed records come from elsewhere from now on.
+    /// The node follows records from another source.
     RecordSourceChanged = 8012, Essential {
-        /// The store, or an upstream: another node that watches it.
+        /// `store`, or `upstream`: another node that watches the store.
         source: &'a str,
         /// Address of the upstream that was polled last.
         upstream: &'a str,
-        /// Whether it answered.
+        /// Whether this upstream answered.
         answered: bool,
-        /// Time since the store was last known to answer it.
+        /// Time since the upstream last had an answer from the store.
         age_ms: u64,
-        /// Time since which its calls to the store fail.
+        /// Time for which the upstream's calls to the store have failed.
         outage_ms: u64
     };
-    /// A source of followed records knows less than this node: nothing was taken from it.
+    /// A source of followed records is behind this node: its records were ignored.
     OlderRecordsNotTaken = 8013, Essential {
         /// Prefix of the records.
         prefix: &'a str,
-        /// Revision up to which the source knows them.
+        /// Revision of the source.
         told: u64,
-        /// Revision up to which this node knows them.
+        /// Revision of this node.
         known: u64
     };
-    /// Records that were kept before a start are used: the store answers nobody, and nothing
-    /// newer is known.
+    /// Records from a snapshot are in use, because the store does not answer and no newer records
+    /// are available.
     RecordsFromSnapshot = 8050, Essential {
         /// Prefix of the records.
         prefix: &'a str,
-        /// The own disk, another node that handed them on, or an upstream that is out of
-        /// touch with the store.
+        /// Where the snapshot comes from: the own disk, another node, or an upstream without
+        /// contact to the store.
         from: &'a str,
-        /// Revision up to which they are known.
+        /// Revision of the records.
         revision: u64,
-        /// Time since the store last confirmed them, by the clocks of two nodes.
+        /// Time since the store last confirmed the records, by the clocks of two nodes.
         age_ms: u64,
-        /// Their number.
+        /// Number of records.
         records: usize
     };
-    /// Records could not be kept on the disk for the next start.
+    /// A snapshot of records could not be written to disk.
     SnapshotNotKept = 8052, Essential {
         /// Prefix of the records.
         prefix: &'a str,
-        /// Why.
+        /// Reason.
         reason: &'a str
     };
-    /// A file of an earlier start is passed over.
+    /// A snapshot file from an earlier start can't be used and is ignored.
     SnapshotUnusable = 8053, Essential {
         /// Folder or file.
         path: &'a str,
-        /// Why.
+        /// Reason.
         reason: &'a str
     };
-    /// An upstream did not take the snapshot that it asked for; it asks again.
+    /// An upstream did not accept the snapshot that it had requested; it will request one again.
     SnapshotNotHandedOn = 8054, Routine {
-        /// The upstream.
+        /// Address of the upstream.
         upstream: &'a str,
-        /// Why.
+        /// Reason.
         reason: &'a str
     };
-    /// The records under a prefix that are used were told by another source from now on.
+    /// The records in use under a prefix come from another source.
     RecordsOriginChanged = 8055, Essential {
         /// Prefix of the records.
         prefix: &'a str,
-        /// The store, an upstream, or a snapshot that was kept before a start.
+        /// The store, an upstream, or a snapshot from before the start.
         origin: &'a str,
-        /// Revision up to which they are known.
+        /// Revision of the records.
         revision: u64,
-        /// Time since the store confirmed them, if that is known.
+        /// Time since the store confirmed the records, if known.
         age_ms: Option<u64>
     };
-    /// The process knows a table and servers for the first time: what was held goes on.
+    /// The process has a routing table and servers for the first time: held requests continue.
     ServesFromNowOn = 8051, Essential {
-        /// Time since its start.
+        /// Time since the start of the process.
         after_ms: u64,
-        /// Requests that were held until now.
+        /// Number of held requests.
         held: usize
     };
-    /// A routing table is in force from now on.
+    /// A routing table came into force.
     TableInForce = 8020, Essential {
-        /// Its version.
+        /// Version of the table.
         version: u64,
-        /// The version before it.
+        /// Version of the previous table.
         previous: u64,
         /// Number of routes.
         routes: usize
     };
-    /// A routing table was not taken.
+    /// A routing table was rejected.
     TableRefused = 8021, Essential {
-        /// The version in force.
+        /// Version of the table in force.
         in_force: u64,
-        /// Why.
+        /// Reason.
         reason: &'a str
     };
-    /// A server takes work.
+    /// A server accepts requests.
     ServerReady = 8030, Essential {
-        /// Identity of the server.
+        /// Server id.
         server: &'a str,
-        /// Its service.
+        /// Service of the server.
         service: &'a str,
-        /// Its address.
+        /// Address of the server.
         address: &'a str,
-        /// Number of its registration.
+        /// Sequence number of its registration.
         sequence: u64
     };
-    /// A server takes no new work.
+    /// A server is draining: it accepts no new requests.
     ServerDraining = 8031, Essential {
-        /// Identity of the server.
+        /// Server id.
         server: &'a str
     };
-    /// A server's registration is gone.
+    /// A server's registration was removed.
     ServerGone = 8032, Essential {
-        /// Identity of the server.
+        /// Server id.
         server: &'a str
     };
-    /// A server's registration vanished in an outage; it is kept for now.
+    /// A server's registration disappeared during a store outage; the server stays in use for now.
     ServerUnconfirmed = 8033, Essential {
-        /// Identity of the server.
+        /// Server id.
         server: &'a str
     };
     /// A server's process ended while it worked on requests of this node.
     ServerEnded = 8036, Essential {
-        /// Identity of the server.
+        /// Server id.
         server: &'a str,
-        /// Its key, by which nodes name it to each other.
+        /// Key of the server in messages between nodes.
         key: &'a str,
-        /// Requests of this node that it worked on.
+        /// Requests of this node that the server worked on.
         requests: usize
     };
-    /// Requests of one content are kept from all servers: each server that ran them ended.
+    /// Requests with this content are quarantined: each server that ran them ended.
     RequestQuarantined = 8040, Essential {
-        /// Digest of the content.
+        /// Digest of the request content.
         request: &'a str,
-        /// Servers that ended under it, as far as this node knows.
+        /// Servers that ended while running this content, as far as this node knows.
         servers: usize,
-        /// Keys of these servers; those that are named in the verdict.
+        /// Keys of the servers listed in the verdict.
         ended: &'a str,
-        /// How often it was quarantined.
+        /// How often this content was quarantined.
         offences: u32,
-        /// Time for which it is kept from servers.
+        /// Length of the quarantine.
         for_ms: u64,
-        /// Where this node has it from: itself, another node, or the store.
+        /// Source of the verdict: this node, another node, or the store.
         source: &'a str
     };
-    /// Requests of one content are sent to servers again: one ran to its end, or an
-    /// operator let them go.
+    /// Requests with this content are sent to servers again: one ran to completion, or an operator
+    /// lifted the quarantine.
     QuarantineLifted = 8041, Essential {
-        /// Digest of the content.
+        /// Digest of the request content.
         request: &'a str,
-        /// Where this node has it from: itself, another node, or the store.
+        /// Source of the change: this node, another node, or the store.
         source: &'a str
     };
-    /// The first word of a server's end came to a node that weighs which request was the
-    /// cause.
+    /// A node that decides on quarantines received the first report of a server's end.
     ServerEndNoted = 8044, Essential {
         /// Key of the server.
         key: &'a str,
-        /// Digests of the contents that it worked on, as far as they were told at once.
+        /// Digests of the contents that the server worked on, as far as the report lists them.
         requests: &'a str
     };
-    /// Servers ended together without a request in common: no request is held for it.
+    /// Several servers ended together without a common request: no request is held for this.
     ServersLostTogether = 8045, Essential {
         /// Keys of the servers.
         ended: &'a str
     };
-    /// A request waits: servers ended under its content, and whether it was the cause is
-    /// being weighed.
+    /// A request waits for a decision on its quarantine: servers ended while running its content.
     RequestAwaitsVerdict = 8046, Essential {
-        /// Request or item.
+        /// Request or item id.
         id: &'a str,
-        /// Digest of the content.
+        /// Digest of the request content.
         request: &'a str,
-        /// Time that it waits at most, unless a further server ends.
+        /// Longest wait, unless another server ends.
         left_ms: u64
     };
-    /// News of servers that ended could not be kept for other nodes.
+    /// Reports of ended servers for other nodes were dropped, because too many wait to be sent.
     CrashNewsDropped = 8042, Essential {
-        /// News that wait to be sent.
+        /// Reports that wait to be sent.
         waiting: usize
     };
-    /// A verdict could not be written to the store; it is tried again.
+    /// A quarantine verdict could not be written to the store; the write is retried.
     VerdictNotStored = 8043, Essential {
-        /// Digest of the content.
+        /// Digest of the request content.
         request: &'a str,
-        /// Why.
+        /// Reason.
         reason: &'a str
     };
-    /// Many servers changed together, as at a start: their number by change.
+    /// Many servers changed at once, as at a start: the number of servers by change.
     ServersChanged = 8035, Essential {
-        /// Servers that take work.
+        /// Servers that accept requests.
         ready: usize,
-        /// Servers that take no new work.
+        /// Servers that are draining.
         draining: usize,
-        /// Servers whose registration is gone.
+        /// Servers whose registration was removed.
         gone: usize,
-        /// Servers whose registration vanished in an outage; they are kept for now.
+        /// Servers whose registration disappeared during a store outage; they stay in use for now.
         unconfirmed: usize
     };
-    /// Readiness changed.
+    /// The node became ready or stopped being ready.
     Readiness = 8034, Essential {
         /// Whether the node is ready.
         ready: bool,
         /// Version of the routing table.
         table_version: u64,
-        /// Known servers that take work.
+        /// Known servers that accept requests.
         servers: usize
     };
     /// A request was sent to a server.
     RequestSent = 8100, Routine {
-        /// Request.
+        /// Request id.
         id: &'a str,
-        /// Its route.
+        /// Route of the request.
         route: &'a str,
-        /// Server.
+        /// Server id.
         server: &'a str,
-        /// Attempt, from 1.
+        /// Number of the attempt, from 1.
         attempt: u32,
         /// Expected wait for a slot.
         expected_wait_ms: u64,
-        /// Prompt tokens that are expected to be read anew.
+        /// Prompt tokens expected not to be in the server's cache.
         uncached_tokens: u32,
-        /// Load that is believed of the server.
+        /// Estimated load of the server.
         load: f64,
-        /// Whether deferrable work there is asked to give way.
+        /// Whether the server is asked to preempt deferrable work.
         displaces: bool,
         /// Version of the routing table.
         table_version: u64,
-        /// Time that the request has left.
+        /// Time left until the request's deadline.
         left_ms: u64
     };
     /// A request was answered.
     RequestAnswered = 8101, Routine {
-        /// Request.
+        /// Request id.
         id: &'a str,
-        /// Its route.
+        /// Route of the request.
         route: &'a str,
-        /// Status.
+        /// HTTP status.
         status: u16,
-        /// Time since it was read.
+        /// Time since the request was read.
         total_ms: u64,
-        /// Time from its read to the first piece.
+        /// Time from reading the request to the first chunk of the answer.
         first_piece_ms: u64,
-        /// Attempts that were made.
+        /// Number of attempts.
         attempts: u32
     };
     /// An attempt at a server failed.
     AttemptFailed = 8102, Essential {
-        /// Request.
+        /// Request id.
         id: &'a str,
-        /// Server.
+        /// Server id.
         server: &'a str,
-        /// Attempt, from 1.
+        /// Number of the attempt, from 1.
         attempt: u32,
-        /// What was seen.
+        /// Observed failure.
         reason: &'a str,
-        /// Time since it was sent.
+        /// Time since the attempt was sent.
         after_ms: u64,
-        /// Whether it goes on at another server.
+        /// Whether the request is retried at another server.
         goes_on: bool
     };
-    /// A request was refused or given up by this node.
+    /// This node refused a request or gave it up.
     RequestRefused = 8103, Essential {
-        /// Request.
+        /// Request id.
         id: &'a str,
-        /// Its route.
+        /// Route of the request.
         route: &'a str,
         /// Result code.
         code: u32,
-        /// Status.
+        /// HTTP status.
         status: u16,
-        /// Time since it was read.
+        /// Time since the request was read.
         after_ms: u64,
-        /// Time after which to come back.
+        /// Time after which the caller should retry.
         come_back_ms: u64,
         /// Version of the routing table.
         table_version: u64
     };
-    /// An answer was broken off after its head had been passed on.
+    /// An answer was aborted after its head had been sent to the client.
     AnswerCut = 8104, Essential {
-        /// Request.
+        /// Request id.
         id: &'a str,
-        /// Server that sent last.
+        /// Server that sent the last part.
         server: &'a str,
-        /// What was seen.
+        /// Observed failure.
         reason: &'a str,
         /// Time since the request was read.
         after_ms: u64
     };
-    /// The client left before its answer was whole.
+    /// The client disconnected before its answer was complete.
     ClientGone = 8105, Essential {
-        /// Request.
+        /// Request id.
         id: &'a str,
-        /// Server that worked on it.
+        /// Server that worked on the request.
         server: &'a str,
         /// Time since the request was read.
         after_ms: u64
     };
-    /// A request that would have been late waited apart until a slot was free.
+    /// A request that would have missed its latency target was held to wait for a free slot.
     RequestHeld = 8106, Essential {
-        /// Request.
+        /// Request id.
         id: &'a str,
-        /// Its route.
+        /// Route of the request.
         route: &'a str,
-        /// Time for which it waited.
+        /// Time for which the request was held.
         held_ms: u64,
-        /// Whether it got a place in the end.
+        /// Whether the request got a slot in the end.
         served: bool
     };
-    /// A second attempt at another server ended, or the first one did meanwhile.
+    /// A second attempt at another server ended, or the first attempt ended meanwhile.
     SecondAttempt = 8120, Essential {
-        /// Request.
+        /// Request id.
         id: &'a str,
-        /// Its route.
+        /// Route of the request.
         route: &'a str,
-        /// Server whose first piece was overdue.
+        /// Server whose first chunk was overdue.
         server: &'a str,
-        /// Time in which it was expected there.
+        /// Expected time to the first chunk at this server.
         expected_ms: u64,
         /// Time from the first attempt to the second.
         waited_ms: u64,
         /// Server of the second attempt.
         second_server: &'a str,
-        /// Time in which the first piece was expected there.
+        /// Expected time to the first chunk at the second server.
         second_expected_ms: u64,
-        /// The attempt that was delivered: `first`, `second` or `neither`.
+        /// The attempt whose answer was delivered: `first`, `second` or `neither`.
         won: &'a str
     };
-    /// A request that found no free slot got one in its turn.
+    /// A request that found no free slot got one after waiting in the queue.
     ClaimGranted = 8110, Routine {
-        /// Request.
+        /// Request id.
         id: &'a str,
-        /// Its route.
+        /// Route of the request.
         route: &'a str,
-        /// Its tenant, empty without one.
+        /// Tenant of the request; empty without one.
         tenant: &'a str,
-        /// Its precedence; zero goes first.
+        /// Precedence; zero goes first.
         precedence: u32,
-        /// Its work in prompt tokens.
+        /// Work in prompt tokens.
         work: u64,
-        /// Time for which it waited.
+        /// Time spent waiting.
         waited_ms: u64,
-        /// Whether it came too late to be in time.
+        /// Whether the slot came too late for the latency target.
         late: bool,
-        /// Claims that went before it when it came.
+        /// Claims ahead in the queue when the request joined it.
         ahead: u32,
-        /// Claims that waited then.
+        /// Claims in the queue at that moment.
         waiting: u32,
-        /// Those of its tenant and precedence.
+        /// Claims of the same tenant and precedence at that moment.
         tenant_waiting: u32,
-        /// Tenants that competed in its precedence.
+        /// Tenants with claims of the same precedence.
         tenants: u32,
-        /// Keepers that lost its claim.
+        /// Keepers that lost the claim.
         lost: u32
     };
-    /// A request found no slot while its caller stayed: others went before it.
+    /// A request got no slot while its caller waited: other claims went first.
     ClaimRefused = 8111, Essential {
-        /// Request.
+        /// Request id.
         id: &'a str,
-        /// Its route.
+        /// Route of the request.
         route: &'a str,
-        /// Its tenant, empty without one.
+        /// Tenant of the request; empty without one.
         tenant: &'a str,
-        /// Its precedence; zero goes first.
+        /// Precedence; zero goes first.
         precedence: u32,
-        /// Its work in prompt tokens.
+        /// Work in prompt tokens.
         work: u64,
-        /// Time for which it waited.
+        /// Time spent waiting.
         waited_ms: u64,
-        /// Claims that go before it.
+        /// Claims ahead in the queue.
         ahead: u32,
-        /// Claims that wait.
+        /// Claims in the queue.
         waiting: u32,
-        /// Those of its tenant and precedence.
+        /// Claims of the same tenant and precedence.
         tenant_waiting: u32,
-        /// Tenants that compete in its precedence.
+        /// Tenants with claims of the same precedence.
         tenants: u32,
-        /// Keepers that lost its claim.
+        /// Keepers that lost the claim.
         lost: u32,
-        /// Time after which there is room.
+        /// Time after which a slot is expected.
         come_back_ms: u64
     };
-    /// Claims wait at this node, the keeper of servers; told once a second.
+    /// Claims for slots wait at this node, which is the keeper of the servers; logged at most once
+    /// a second.
     ClaimsWait = 8112, Essential {
-        /// Claims that wait.
+        /// Claims in the queue.
         claims: usize,
-        /// Tenants whose shares are remembered, those with waiting claims among them.
+        /// Tenants whose shares are recorded, including those with waiting claims.
         tenants: usize,
-        /// Other nodes that have claims here, or had some and are heard still.
+        /// Other nodes that have claims here, or had some recently.
         nodes: usize
     };
-    /// A new table changed the precedence of claims that wait here.
+    /// A new routing table changed the precedence of claims that wait here.
     ClaimsReordered = 8113, Essential {
         /// Version of the table.
         version: u64,
         /// Claims whose precedence changed.
         claims: usize
     };
-    /// The connection to a server was lost while it worked on a request or an item.
+    /// The connection to a server was lost while the server worked on a request or an item.
     ConnectionLost = 8107, Essential {
-        /// Request or item.
+        /// Request or item id.
         id: &'a str,
-        /// Server.
+        /// Server id.
         server: &'a str,
-        /// Digest of its content; one that comes again has the same.
+        /// Digest of the content; a resend has the same digest.
         request: &'a str,
-        /// Time since it was sent.
+        /// Time since the request was sent.
         after_ms: u64
     };
-    /// A request or item was not sent to any server: its content is quarantined.
+    /// A request or item was not sent to any server, because its content is quarantined.
     RequestKeptBack = 8108, Essential {
-        /// Request or item.
+        /// Request or item id.
         id: &'a str,
-        /// Digest of its content.
+        /// Digest of the request content.
         request: &'a str,
-        /// Time until the quarantine's end.
+        /// Time until the end of the quarantine.
         left_ms: u64
     };
-    /// A batch job was kept, or a resend of it was recognized.
+    /// A batch job was stored, or recognized as a resend.
     JobAccepted = 8200, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Its items.
+        /// Number of items.
         items: usize,
-        /// Whether it was known before.
+        /// Whether the job was known before.
         resent: bool,
-        /// Where it was kept: the store, or this many disks.
+        /// Number of disks that stored the job; zero if the store did.
         disks: usize,
-        /// Time that it took.
+        /// Time taken.
         after_ms: u64
     };
-    /// A batch job was not kept.
+    /// A batch job was refused.
     JobRefused = 8201, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Status.
+        /// HTTP status.
         status: u16,
-        /// Why.
+        /// Reason.
         reason: &'a str,
-        /// Time that it took.
+        /// Time taken.
         after_ms: u64
     };
-    /// A batch job is refused: too much waits on its route already.
+    /// A batch job was refused, because its route has too many queued tokens.
     QueueLimitReached = 8231, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Its route.
+        /// Route of the job.
         route: &'a str,
-        /// Tokens of its items.
+        /// Tokens of the job's items.
         tokens: u64,
-        /// Tokens that wait on the route at all nodes, as far as they told.
+        /// Tokens queued on the route at all nodes, as far as reported.
         queued: u64,
-        /// Tokens that may wait there.
+        /// Queue limit of the route in tokens.
         limit: u64
     };
-    /// A batch job was ended by its client.
+    /// A client's request to end a batch job was answered.
     JobEnded = 8202, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Status of the answer.
+        /// HTTP status of the answer.
         status: u16
     };
-    /// This worker runs the items of a job from now on.
+    /// This worker starts to run the items of a job.
     JobTaken = 8210, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Its items.
+        /// Number of items.
         items: usize,
-        /// Results that are listed already.
+        /// Results that are already listed.
         listed: usize,
-        /// Workers that are believed to live.
+        /// Workers assumed to be alive.
         workers: usize
     };
-    /// It can't be found out whether a job is still open; it is asked again.
+    /// The state of a job could not be read, so that it may have been ended; the read is retried.
     JobNotConfirmed = 8224, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Why.
+        /// Reason.
         reason: &'a str
     };
-    /// Items of a job don't start: it may have been ended.
+    /// No items of a job are started, because the job may have been ended.
     ItemStartsHeld = 8225, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Items that would start.
+        /// Items that are ready to start.
         waiting: usize,
-        /// Age of what is known of the job.
+        /// Age of the last confirmed state of the job.
         known_ms: u64
     };
-    /// Items of a job start again.
+    /// Items of a job are started again.
     ItemStartsResumed = 8226, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Time for which none started.
+        /// Time for which no item was started.
         held_ms: u64
     };
-    /// A disk does not give what is kept on it for the store: it is read again; or a file
-    /// there is no job.
+    /// A spool folder can't be read and is read again later, or a file in it is not a valid job.
     SpoolUnread = 8015, Essential {
         /// Folder or file.
         path: &'a str,
-        /// Why.
+        /// Reason.
         reason: &'a str
     };
-    /// This worker's run of a job has ended, and the store says that the job is open: it
-    /// is run again.
+    /// This worker's run of a job ended while the job is still open in the store: the worker runs
+    /// the job again.
     JobTakenAgain = 8014, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str
     };
-    /// This worker runs a job no longer.
+    /// This worker stopped running a job.
     JobLeft = 8211, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Why.
+        /// Reason.
         reason: &'a str,
-        /// Results that are listed.
+        /// Listed results.
         listed: usize
     };
     /// An item was sent to a server.
     ItemSent = 8212, Routine {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Item.
+        /// Item id.
         item: &'a str,
-        /// Server.
+        /// Server id.
         server: &'a str,
-        /// Load that is believed of the server.
+        /// Estimated load of the server.
         load: f64,
-        /// Events that are kept from earlier runs.
+        /// Events kept from earlier runs of the item.
         events_kept: u64,
-        /// Time since the server was chosen.
+        /// Time between the choice of the server and the send.
         chosen_ms: u64,
-        /// Age of what is known of the job: an end that was acknowledged within that time
-        /// may be unknown here.
+        /// Age of the last confirmed state of the job; the job may have been ended since.
         known_ms: u64
     };
-    /// None of the items that a job would start can be in time any more: they start after
-    /// those of all other jobs.
+    /// No waiting item of a job can finish in time any more: the items start after those of all
+    /// other jobs.
     JobOverdue = 8240, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Items that wait.
+        /// Waiting items.
         waiting: usize,
         /// Time until the job is due.
         left_ms: u64,
-        /// Time that an item is expected to need from its first start on.
+        /// Expected time of an item from its first start on.
         needed_ms: u64
     };
-    /// A run of an item failed or was broken off.
+    /// A run of an item failed or was interrupted.
     ItemAttemptFailed = 8213, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Item.
+        /// Item id.
         item: &'a str,
-        /// Server.
+        /// Server id.
         server: &'a str,
-        /// What was seen.
+        /// Observed failure.
         reason: &'a str,
         /// Failures of the item so far.
         failures: u32,
-        /// Events that are kept.
+        /// Events kept of the item's output.
         events_kept: u64
     };
     /// An item has its result.
     ItemEnded = 8214, Routine {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Item.
+        /// Item id.
         item: &'a str,
-        /// How.
+        /// Outcome of the item.
         end: ItemOutcome,
-        /// Failures before.
+        /// Failures before the result.
         failures: u32,
-        /// Time since its job was taken by this worker.
+        /// Time since this worker took the job.
         after_ms: u64
     };
-    /// Results were listed.
+    /// Results were added to a job's result list.
     ResultsListed = 8215, Routine {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Position of the first.
+        /// Position of the first result.
         first: usize,
-        /// Their number.
+        /// Number of results.
         count: usize,
         /// Revision of the record.
         revision: u64
     };
-    /// Results could not be listed; the list is read again.
+    /// Results could not be added to a job's result list; the list is read again.
     ListingFailed = 8216, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Position of the first.
+        /// Position of the first result.
         first: usize,
-        /// Why.
+        /// Reason.
         reason: &'a str
     };
-    /// How often items failed could not be recorded; it is tried again.
+    /// The failure counts of items could not be stored; the write is retried.
     FailuresNotRecorded = 8219, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Why.
+        /// Reason.
         reason: &'a str
     };
-    /// A job that ran no longer was removed from the store.
+    /// A job that no longer runs was removed from the store.
     JobRemoved = 8217, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str
     };
-    /// A job was left while results of it, or its items' failures, could not be put on
-    /// record in time: those items run again, or are counted anew.
+    /// A worker left a job before its results or failure counts were stored: those items run again,
+    /// or their failures are counted from the stored value.
     LeftUnlisted = 8141, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
         /// Results that are not listed.
         ready: usize
     };
-    /// This worker ends although jobs that it left are still listing what they have.
+    /// This worker stops although jobs that it left are still storing their results.
     JobsNotLeft = 8142, Essential {
-        /// Jobs.
+        /// Number of such jobs.
         jobs: usize
     };
-    /// Old jobs could not be removed from the store; that is tried again.
+    /// Old jobs could not be removed from the store; the removal is retried.
     JobsNotRemoved = 8143, Essential {
-        /// Jobs.
+        /// Number of such jobs.
         jobs: usize,
-        /// Why the first of them was not.
+        /// Reason for the first of them.
         reason: &'a str
     };
-    /// The items of a job or the list of their results can't be read, so that the job does
-    /// not run; that is tried again.
+    /// The items or the result list of a job can't be read, so that the job does not run; the read
+    /// is retried.
     JobNotLoaded = 8145, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Why.
+        /// Reason.
         reason: &'a str,
-        /// Tries so far.
+        /// Attempts so far.
         tries: u32
     };
-    /// Another worker listed the result of an item that runs here: its run is broken off.
+    /// Another worker listed the result of an item that runs here: the run is cancelled.
     RunNotNeeded = 8146, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Item.
+        /// Item id.
         item: &'a str,
-        /// Server.
+        /// Server id.
         server: &'a str
     };
     /// The set of workers changed.
     WorkersChanged = 8220, Essential {
-        /// Their names.
+        /// Names of the workers.
         workers: &'a str
     };
-    /// Further nodes are registered, or registered at other addresses.
+    /// Nodes were registered, or registered with other addresses.
     NodesSeen = 8221, Essential {
-        /// Number of these.
+        /// Number of these nodes.
         added: usize,
         /// Name of one of them.
         peer: &'a str,
-        /// Its address.
+        /// Address of that node.
         address: &'a str,
-        /// All other nodes that are known now.
+        /// Number of all other known nodes.
         known: usize
     };
-    /// Another node's registration is gone.
+    /// Another node's registration was removed.
     NodeGone = 8222, Essential {
-        /// Its name.
+        /// Name of the node.
         peer: &'a str
     };
-    /// This machine has too little room: answers may be late soon.
+    /// This machine is close to a resource limit: answers may soon be late.
     MachineBusy = 8130, Essential {
-        /// Percent that is left of its processor time.
+        /// Processor time left, in percent.
         processor: u8,
-        /// Percent that is left of the delay with which answers can be in time.
+        /// Task delay left before answers are late, in percent.
         delay: u8,
-        /// Percent that is left of its memory.
+        /// Memory left, in percent.
         memory: u8,
-        /// Percent that is left of its descriptors.
+        /// File descriptors left, in percent.
         descriptors: u8,
-        /// Mean delay of its tasks.
+        /// Mean delay of tasks.
         delay_ms: u64,
-        /// Other nodes that tell their room.
+        /// Other nodes that report their headroom.
         others: u32,
-        /// Those of them that are busy.
+        /// Busy nodes among them.
         others_busy: u32
     };
-    /// This machine is busy no more.
+    /// This machine is no longer close to a resource limit.
     MachineFree = 8131, Essential {
-        /// Percent that is left of the scarcest limit.
+        /// Percent left of the scarcest resource.
         room: u8,
-        /// Time for which it was busy.
+        /// Time for which the machine was busy.
         busy_ms: u64
     };
-    /// The least room of this machine in some seconds; told at this pace where it has limits.
+    /// Lowest headroom of this machine in the last seconds; logged regularly if the machine has
+    /// limits.
     MachineRoom = 8132, Essential {
-        /// Percent that was left of its processor time.
+        /// Processor time left, in percent.
         processor: u8,
-        /// Percent that was left of the delay with which answers can be in time.
+        /// Task delay left before answers are late, in percent.
         delay: u8,
-        /// Percent that was left of its memory.
+        /// Memory left, in percent.
         memory: u8,
-        /// Percent that was left of its descriptors.
+        /// File descriptors left, in percent.
         descriptors: u8,
-        /// Whether it keeps servers.
+        /// Whether this node is a keeper of servers.
         keeps_servers: bool
     };
-    /// Other nodes keep servers from now on, as this one believes.
+    /// The set of keepers, the nodes that track the slots of servers, changed in this node's view.
     KeepersChanged = 8223, Essential {
-        /// How many.
+        /// Number of keepers.
         keepers: usize,
-        /// Whether this node is one of them.
+        /// Whether this node is a keeper.
         own: bool,
-        /// Whether deputies have to hear of all: no upstream hears enough others.
+        /// Whether deputies have to receive the reports of all nodes, because no upstream receives
+        /// enough of them.
         deputies_needed: bool
     };
-    /// A job was kept on this disk until the record store takes it.
+    /// A job was stored on this disk until the record store accepts it.
     JobSpooled = 8203, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Bytes.
+        /// Size in bytes.
         bytes: usize
     };
-    /// A job went from this disk to the record store.
+    /// A job was moved from this disk to the record store.
     SpoolDrained = 8204, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Whether it was there already.
+        /// Whether the store had the job already.
         present: bool
     };
-    /// A job on this disk did not get into the record store, or its file could not be
-    /// removed; it is tried again.
+    /// A job on this disk could not be written to the record store, or its file could not be
+    /// removed; both are retried.
     SpoolNotDrained = 8140, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Why.
+        /// Reason.
         reason: &'a str,
-        /// Looks in a row at the disk that left something there.
+        /// Consecutive scans of the disk that left files behind.
         looks: u32
     };
-    /// A disk that is given up can't remove its note that it is on record, and stays there;
-    /// that is tried again.
+    /// The file that marks a retired disk as registered can't be removed, so that the disk stays
+    /// registered; the removal is retried.
     DiskNoteKept = 8144, Essential {
         /// Folder.
         path: &'a str,
-        /// Why.
+        /// Reason.
         reason: &'a str
     };
-    /// The disk did not keep a job, or the end of one.
+    /// A job, or the end of a job, could not be stored on this disk.
     SpoolFailed = 8205, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Why.
+        /// Reason.
         reason: &'a str
     };
-    /// The end of a job that is not in the store was put on record there, for when the job comes.
+    /// The end of a job was stored before the job itself arrived in the store.
     EndKept = 8206, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str
     };
-    /// A job came into the store after its end: none of its items runs.
+    /// A job arrived in the store after its end: none of its items runs.
     JobCameEnded = 8207, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str
     };
-    /// The store did not take the end of a job in its caller's time; this node goes on trying.
+    /// The store did not accept the end of a job before the caller's deadline; this node keeps
+    /// retrying.
     EndOutstanding = 8208, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Ends that this node tries.
+        /// Ends that this node retries.
         waiting: usize
     };
-    /// The store did not take the end of a job in time; it was handed to the disks of workers.
+    /// The store did not accept the end of a job in time; the end was sent to the disks of workers.
     EndHandedOut = 8016, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Whether as many disks keep it as make it last.
+        /// Whether enough disks stored the end.
         kept: bool
     };
-    /// The end of a job was kept on this disk until the record store takes it.
+    /// The end of a job was stored on this disk until the record store accepts it.
     EndSpooled = 8017, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str
     };
-    /// The end of a job went from this disk to the record store.
+    /// The end of a job was moved from this disk to the record store.
     EndDrained = 8018, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Whether the caller may end the job, or it is not known yet.
+        /// False if the job belongs to another caller; true also if the job is not known yet.
         found: bool
     };
-    /// An end of a job was asked for at a node that knows no table yet, which keeps it.
+    /// A caller asked this node to end a job before the node had a routing table; the end waits for
+    /// the table.
     EndAwaitsTable = 8047, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Ends that are kept so.
+        /// Ends that wait for the table.
         waiting: usize
     };
-    /// The store took the end of a job that could not be done when its caller asked.
+    /// The store accepted the end of a job that could not be completed when the caller asked.
     EndMadeUp = 8209, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
         /// Whether the job was known, or may be on a disk.
         found: bool
     };
-    /// An end that the store did not take is tried no more.
+    /// The end of a job is no longer retried.
     EndGivenUp = 8218, Essential {
-        /// Job.
+        /// Job id.
         job: &'a str,
-        /// Why.
+        /// Reason.
         reason: &'a str
     };
-    /// This machine was asked to give up its work.
+    /// This machine was asked to retire.
     Retiring = 8230, Essential {
-        /// What it answered.
+        /// State that the machine reported.
         state: &'a str
     };
 }
--- a/crates/events/src/lib.rs
+++ b/crates/events/src/lib.rs
@@ -1,12 +1,12 @@
 //! Typed log events: one JSON line each on standard output.
 //!
-//! Every decision that touches a request or changes what a process believes
-//! has an event. Its number never changes its meaning; `docs/LOG-EVENTS.md`
-//! lists them. The volume is bounded: routine events beyond a budget of lines
-//! a second are kept only for a sample of the requests, and a reader that
-//! doesn't read loses lines instead of stopping the process. What was dropped
-//! is told in a line of its own. Every event also counts in the metrics,
-//! whether its line is written or not.
+//! Every decision about a request and every change of a process's state has an event.
+//! The meaning of an event number never changes; `docs/LOG-EVENTS.md` lists them.
+//!
+//! The volume is bounded: beyond a budget of lines per second, routine events are written
+//! only for a sample of the requests. If the reader of the log is slow, lines are dropped
+//! instead of blocking the process. A separate event reports the number of dropped lines.
+//! Metrics count every event, whether its line is written or not.
 
 mod budget;
 mod event;
--- a/crates/events/src/metrics.rs
+++ b/crates/events/src/metrics.rs
@@ -1,7 +1,6 @@
-//! Metrics, counted from the events.
+//! Metrics, mostly counted from the events.
 //!
-//! The number of series is bounded: routes, servers and words beyond the
-//! bound fall into one common series.
+//! The number of series is bounded: label values beyond the limit share one series.
 
 use crate::event::Event;
 use crate::tenant_metrics::{SlotOutcome, TenantMetrics};
@@ -17,14 +16,13 @@
 use std::sync::{Mutex, OnceLock, PoisonError};
 use std::time::Duration;
 
-/// Most values of one label.
+/// Most distinct label values.
 const MAX_LABEL_VALUES: usize = 100;
-/// Series of all second attempts, whichever attempt was delivered.
+/// Label of the series that counts all second attempts.
 const SECOND_STARTED: &str = "begun";
-/// The value of a label beyond the bound.
+/// Label value beyond the limit.
 const OTHER_LABEL: &str = "other";
-/// Least bound of the buckets, in seconds, and their number; each is twice
-/// the one before.
+/// Upper bound of the first histogram bucket; each further bound doubles.
 const FIRST_BUCKET_SECONDS: f64 = 0.002;
 const BUCKET_COUNT: u16 = 15;
 
@@ -113,20 +111,24 @@
         let attempts = Histogram::new([1.0, 2.0, 3.0, 4.0]);
         registry.register("attempts", "Attempts of answered requests", attempts.clone());
         let second_attempts = ByName::default();
-        registry.register("second_attempts", "Second attempts: begun, and won by either", second_attempts.clone());
+        registry.register(
+            "second_attempts",
+            "Second attempts: begun, and delivered by either attempt",
+            second_attempts.clone(),
+        );
         let job_acceptance = duration_histogram();
-        registry.register("job_acceptance_seconds", "Time to keep a batch job", job_acceptance.clone());
+        registry.register("job_acceptance_seconds", "Time to store a batch job", job_acceptance.clone());
         let item = duration_histogram();
         registry.register("item_seconds", "Time from taking a job to the end of an item", item.clone());
         let dependency_up = ByName::default();
         registry.register("dependency_up", "Whether a dependency answers", dependency_up.clone());
         let server_load = ByName::default();
-        registry.register("server_load", "Requests believed to run or wait at a server", server_load.clone());
+        registry.register("server_load", "Estimated requests that run or wait at a server", server_load.clone());
         let server_time_factor = ByName::default();
-        let help = "Time that work is believed to take at a server, in parts of the usual";
+        let help = "Estimated time of work at a server, relative to the usual time";
         registry.register("server_time_factor", help, server_time_factor.clone());
         let machine_room = ByName::default();
-        let help = "Percent that is left of a limit of this machine, by limit; 100 where it is not known";
+        let help = "Percent left of a resource limit of this machine, by limit; 100 if unknown";
         registry.register("machine_room", help, machine_room.clone());
         let table_version = Gauge::default();
         registry.register("table_version", "Version of the routing table in force", table_version.clone());
@@ -135,13 +137,13 @@
         let records_age = DurationByName::new_with_constructor(duration_histogram);
         registry.register(
             "records_age_seconds",
-            "How old what is known of followed records had become when it was renewed, by prefix",
+            "Age of followed records when they were confirmed again, by prefix",
             records_age.clone(),
         );
         let known_records_age = Family::default();
         registry.register(
             "known_records_age_seconds",
-            "Time since the store confirmed the records that are used, by prefix and by who told them",
+            "Time since the store confirmed the records in use, by prefix and origin",
             known_records_age.clone(),
         );
         let lines_dropped = Counter::default();
@@ -174,7 +176,7 @@
         }
     }
 
-    /// The label itself, or the common one once there are too many.
+    /// The label itself, or the common label beyond the limit.
     fn bounded_label(&self, label: &str) -> String {
         let mut labels = self.labels.lock().unwrap_or_else(PoisonError::into_inner);
         if labels.contains(label) {
@@ -192,7 +194,7 @@
     }
 }
 
-/// Counts an event.
+/// Updates the metrics for an event.
 pub(crate) fn count(event: &Event<'_>) {
     let metrics = metrics();
     let name = event.kind().1.to_owned();
@@ -230,19 +232,19 @@
     }
 }
 
-/// Counts a call to the record store, or one that was held back.
+/// Counts a call to the record store, sent or held back.
 pub fn count_store_call(kind: &'static str, outcome: &'static str) {
     metrics().store_calls.get_or_create(&StoreCallLabels { kind, outcome }).inc();
 }
 
-/// What is known of the records under a prefix was renewed at this age.
+/// Records the age that the records under a prefix had when they were confirmed again.
 pub fn observe_records_age(prefix: &str, age: Duration) {
     let metrics = metrics();
     metrics.records_age.get_or_create(&metrics.name_label(prefix)).observe(age.as_secs_f64());
 }
 
-/// Tells of each prefix who told the records that are used, and how long ago the store
-/// confirmed them; an age that is not known counts as endless. Others are forgotten.
+/// Replaces the ages of the records in use, by prefix and origin: the time since the store
+/// confirmed them, infinite if unknown.
 pub fn set_known_records_ages<'a>(known: impl Iterator<Item = (&'a str, &'static str, Option<Duration>)>) {
     let metrics = metrics();
     metrics.known_records_age.clear();
@@ -253,17 +255,17 @@
     }
 }
 
-/// Counts the end of a claim on a slot, of so much work in prompt tokens.
+/// Counts a finished claim on a slot; `work` is in prompt tokens.
 pub fn count_claim(precedence: u32, tenant: &str, end: SlotOutcome, work: u64) {
     metrics().tenants.add_claim(precedence, tenant, end, work);
 }
 
-/// Counts lines of the log that were dropped.
+/// Counts dropped log lines.
 pub(crate) fn count_dropped(lines: u64) {
     metrics().lines_dropped.inc_by(lines);
 }
 
-/// Tells the load that is believed of each server; others are forgotten.
+/// Replaces the estimated loads of the servers.
 pub fn set_server_loads<'a>(loads: impl Iterator<Item = (&'a str, f64)>) {
     let metrics = metrics();
     metrics.server_load.clear();
@@ -272,8 +274,7 @@
     }
 }
 
-/// Sets the time that work is believed to take at each server, in parts of the usual;
-/// servers that are not named have none.
+/// Replaces the estimated times of work at the servers, relative to the usual time.
 pub fn set_server_time_factors<'a>(factors: impl Iterator<Item = (&'a str, f64)>) {
     let metrics = metrics();
     metrics.server_time_factor.clear();
@@ -282,7 +283,7 @@
     }
 }
 
-/// Sets what is left of each limit of this machine, in percent.
+/// Sets the percentage left of each resource limit of this machine.
 pub fn set_machine_room<'a>(rooms: impl IntoIterator<Item = (&'a str, u8)>) {
     let metrics = metrics();
     for (limit, percent) in rooms {
@@ -290,7 +291,7 @@
     }
 }
 
-/// All metrics in the text format of Prometheus.
+/// Returns all metrics in the Prometheus text format.
 pub fn text() -> String {
     let mut text = String::new();
     metrics().tenants.update_series();
--- a/crates/events/src/output.rs
+++ b/crates/events/src/output.rs
@@ -1,4 +1,4 @@
-//! Writing of events: `log` and `fern` behind a writer that never waits.
+//! Output of events: `log` and `fern` with a writer that never blocks.
 
 use crate::budget::LineBudget;
 use crate::event::Event;
@@ -9,19 +9,19 @@
 use std::sync::Mutex;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// Target of the log records that carry events.
+/// Log target of the events.
 const EVENT_TARGET: &str = "event";
 
-/// Longest line: a pipe that is ready takes that much without waiting.
+/// Longest line; a pipe that polls as writable accepts this much without blocking.
 const MAX_LINE_BYTES: usize = 4096;
 
 static BUDGET: Mutex<Option<LineBudget>> = Mutex::new(None);
 static UNREAD_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Sets the log up, once a process; before it, events are dropped.
+/// Initializes the log, once per process. Earlier events are dropped.
 ///
 /// # Errors
-/// If a log was set up before.
+/// If a logger is installed already.
 pub fn start(node: &str, role: &str) -> Result<()> {
     let node = serde_json::to_string(node)?;
     let role = serde_json::to_string(role)?;
@@ -44,8 +44,8 @@
     Ok(())
 }
 
-/// Writes an event. `subject` is the request or job that it is about, or
-/// empty; of a sampled request all nodes write all lines.
+/// Counts an event and writes its line. `subject` is the id of the request or job of the
+/// event, or empty; all nodes sample the same requests.
 pub fn emit(subject: &str, event: &Event<'_>) {
     let (number, name, weight) = event.kind();
     metrics::count(event);
@@ -69,17 +69,17 @@
 
 fn write_line(number: u32, name: &str, event: &Event<'_>) {
     let Ok(fields) = serde_json::to_string(event) else { return };
-    // The fields' own braces give way to those of the line.
+    // The fields become part of the object of the line.
     let fields = fields.trim_start_matches('{').trim_end_matches('}');
     log::info!(target: EVENT_TARGET, "\"event\":\"E{number}\",\"name\":\"{name}\",{fields}");
 }
 
-/// FNV-1a: the same on every node.
+/// FNV-1a hash of the subject, the same on every node.
 fn sample_hash(subject: &str) -> u64 {
     subject.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// Standard output that drops what its reader doesn't take.
+/// Standard output that drops lines if the reader is too slow.
 struct StandardOutput;
 
 impl Write for StandardOutput {
@@ -89,7 +89,7 @@
             UNREAD_LINES.fetch_add(1, Ordering::Relaxed);
             return Ok(bytes.len());
         }
-        // SAFETY: one valid entry is passed, and the call does not wait.
+        // SAFETY: one valid entry is passed, and the timeout of zero keeps the call from blocking.
         let polled = unsafe { libc::poll(&mut ready, 1, 0) };
         if polled == 0 {
             UNREAD_LINES.fetch_add(1, Ordering::Relaxed);
--- a/crates/events/src/tenant_metrics.rs
+++ b/crates/events/src/tenant_metrics.rs
@@ -1,8 +1,7 @@
-//! What tenants were given, in a bounded number of series.
+//! Metrics by tenant, in a bounded number of series.
 //!
-//! The tenants that were given most work have series of their own; all others are told
-//! together. So the series don't grow with the tenants, and whoever crowds others out is
-//! among them.
+//! The tenants with the most work have series of their own; all others share one. A tenant
+//! that crowds out the others therefore always has a series.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::family::Family;
@@ -11,31 +10,31 @@
 use std::collections::HashMap;
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
-/// Tenants, by precedence, with series of their own.
+/// Pairs of tenant and precedence with series of their own.
 const MAX_TENANT_SERIES: usize = 16;
-/// Tenants, by precedence, whose figures are kept; beyond it the one with least work is added to
-/// the common series.
+/// Pairs of tenant and precedence that are tracked; beyond it the one with the least work is
+/// added to the common series.
 const MAX_TRACKED_TENANTS: usize = 1024;
-/// The common series.
+/// Label of the common series.
 const OTHER_LABEL: &str = "other";
 
-/// A tenant's requests of one precedence.
+/// Labels of a tenant's requests of one precedence.
 #[derive(Clone, Debug, Hash, PartialEq, Eq, EncodeLabelSet)]
 struct TenantLabels {
     precedence: u32,
     tenant: String,
 }
 
-/// What became of a claim on a slot.
+/// Outcome of a claim on a slot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SlotOutcome {
     /// A slot was free.
     AtOnce,
-    /// It waited, and got a slot in time.
+    /// The claim waited and got a slot in time.
     InTurn,
-    /// It waited, and can't be in time any more.
+    /// The claim waited and got a slot too late.
     Late,
-    /// Others went first for as long as it could wait.
+    /// Other claims went first until the claim had to give up.
     CrowdedOut,
 }
 
@@ -57,7 +56,7 @@
         self.crowded_out += other.crowded_out;
     }
 
-    /// The totals of one claim.
+    /// Totals of one claim.
     fn of(end: SlotOutcome, work: u64) -> Self {
         let mut totals = Totals::default();
         match end {
@@ -76,11 +75,11 @@
 #[derive(Debug, Default)]
 struct TrackedTenants {
     tenants: HashMap<TenantLabels, Totals>,
-    /// Tenants that are not kept apart any more, by precedence.
+    /// Sums of the tenants that are no longer tracked, by precedence.
     others: HashMap<u32, Totals>,
 }
 
-/// Figures of tenants, and their series.
+/// Totals of the tenants and their series.
 #[derive(Debug, Default)]
 pub(crate) struct TenantMetrics {
     tracked: Mutex<TrackedTenants>,
@@ -100,10 +99,10 @@
         register("tenant_slots_at_once", "Requests that found a free slot", &self.at_once);
         register("tenant_slots_in_turn", "Requests that waited and got a slot in time", &self.in_turn);
         register("tenant_slots_late", "Requests that waited and got a slot late", &self.late);
-        register("tenant_crowded_out", "Requests refused since others went first", &self.crowded_out);
+        register("tenant_crowded_out", "Requests refused because others went first", &self.crowded_out);
     }
 
-    /// A claim came to its end.
+    /// Adds a finished claim; `work` is in prompt tokens.
     pub(crate) fn add_claim(&self, precedence: u32, tenant: &str, end: SlotOutcome, work: u64) {
         let mut tracked = self.lock();
         let key = TenantLabels { precedence, tenant: tenant.to_owned() };
@@ -117,7 +116,7 @@
         }
     }
 
-    /// Brings the series up to date.
+    /// Updates the series from the totals.
     pub(crate) fn update_series(&self) {
         let tracked = self.lock();
         let mut ordered: Vec<(&TenantLabels, &Totals)> = tracked.tenants.iter().collect();
--- a/crates/events/tests/catalogue.rs
+++ b/crates/events/tests/catalogue.rs
@@ -1,6 +1,4 @@
-//! The catalogue in the documents is what the code says.
-//!
-//! `LATCHWHEEL_WRITE_DOCS=1` writes it.
+//! The documented event catalogue matches the code. `LATCHWHEEL_WRITE_DOCS=1` writes it.
 
 use latchwheel_events::{Event, Importance};
 use std::collections::HashSet;
@@ -12,7 +10,7 @@
 fn table() -> String {
     let mut text = String::from(HEADING);
     text.push_str(
-        "\nLines of the proxy, the jobs and the adapter, on standard output: `time`\n(milliseconds since 1970), `steady` (milliseconds since the start), `node`,\n`role`, `event`, `name`, and the event's own fields (crates/events). Lines of\nroutine events are sampled by request once there are too many; what was dropped\nis told by E8004.\n\n| event | name | kept | when |\n| --- | --- | --- | --- |\n",
+        "\nLines of the proxy, the jobs and the adapter, on standard output: `time`\n(milliseconds since 1970), `steady` (milliseconds since the start), `node`,\n`role`, `event`, `name`, and the event's own fields (crates/events). Lines of\nroutine events are sampled by request once there are too many; E8004 reports\nthe number of dropped lines.\n\n| event | name | kept | when |\n| --- | --- | --- | --- |\n",
     );
     for (number, name, weight, meaning) in Event::CATALOGUE {
         let kept = match weight {
@@ -34,7 +32,7 @@
         std::fs::write(&path, &expected).unwrap();
         return;
     }
-    assert!(page == expected, "docs/LOG-EVENTS.md is not what the code says; run with LATCHWHEEL_WRITE_DOCS=1");
+    assert!(page == expected, "docs/LOG-EVENTS.md does not match the code; run with LATCHWHEEL_WRITE_DOCS=1");
 }
 
 #[test]
--- a/crates/events/tests/lines.rs
+++ b/crates/events/tests/lines.rs
@@ -1,4 +1,4 @@
-//! What a process writes: one JSON object a line, and metrics.
+//! Log output: one JSON object per line, dropped lines, and metrics.
 
 use latchwheel_events::{
     emit, metrics_text, set_known_records_ages, set_machine_room, set_server_loads, set_server_time_factors, start,
@@ -8,8 +8,7 @@
 use std::os::fd::FromRawFd;
 use std::time::Duration;
 
-/// Standard output of this process as a pipe that the test reads; dropping it
-/// brings the former one back.
+/// Redirects standard output of this process to a pipe that the test reads, until dropped.
 struct Redirected {
     reader: std::fs::File,
     former: i32,
@@ -48,7 +47,7 @@
     assert_eq!((&line["event"], &line["name"]), (&"E8010".into(), &"DependencyLost".into()));
     assert_eq!(line["reason"], "quote \" and {brace}");
 
-    // Nobody reads: the pipe fills up, lines are dropped, and all calls return.
+    // Without a reader the pipe fills up, lines are dropped, and all calls return.
     let reason = "x".repeat(4000);
     for _ in 0..300 {
         emit("id", &Event::DependencyLost { dependency: "store", reason: &reason });
@@ -83,7 +82,7 @@
     assert!(text.contains("latchwheel_server_load{name=\"server\"} 2.5"));
     assert!(text.contains("latchwheel_server_time_factor{name=\"server\"} 1.5"));
     assert!(text.contains("latchwheel_known_records_age_seconds{name=\"table/\",origin=\"snapshot\"} 2.5"), "{text}");
-    assert!(!text.contains("origin=\"store\""), "only the present origin is told");
+    assert!(!text.contains("origin=\"store\""), "only the current origin has a series");
     assert!(text.contains("latchwheel_machine_room{name=\"processor\"} 40"));
     let refused = text.lines().filter(|line| line.starts_with("latchwheel_refusals_total")).count();
     assert!(refused <= 101, "the number of series is bounded: {refused}");
--- a/crates/events/tests/tenant_metrics.rs
+++ b/crates/events/tests/tenant_metrics.rs
@@ -1,4 +1,4 @@
-//! Series of tenants stay few, and the ones with most work are among them.
+//! The number of tenant series is bounded, and the tenants with the most work have one.
 
 use latchwheel_events::{count_claim, metrics_text, SlotOutcome};
 
--- a/crates/events/tests/volume.rs
+++ b/crates/events/tests/volume.rs
@@ -2,7 +2,7 @@
 
 use latchwheel_events::{Importance, LineBudget};
 
-/// Lines that are admitted of so many in one second.
+/// Number of lines that are admitted of `lines` in one second.
 fn admitted(budget: &mut LineBudget, second: u64, weight: Importance, lines: u64) -> u64 {
     (0..lines).filter(|line| budget.admit(second, weight, line * 7 + 1)).count() as u64
 }
@@ -25,7 +25,7 @@
     assert_eq!(admitted(&mut budget, 2, Importance::Essential, 100), 100);
 }
 
-/// A sampled request has all its lines, on whichever node.
+/// Guards against requests with only some of their lines.
 #[test]
 fn a_sampled_request_keeps_all_its_lines() {
     let mut budget = LineBudget::default();
