--- a/crates/events/src/budget.rs
+++ b/crates/events/src/budget.rs
@@ -20,12 +20,12 @@
 impl LineBudget {
     /// Whether a line may be written in this second; `sample` is a hash of the request id,
     /// the same on every node.
-    pub fn admit(&mut self, second: u64, weight: Importance, sample: u64) -> bool {
+    pub fn admit(&mut self, second: u64, importance: Importance, sample: u64) -> bool {
         if second != self.second {
             self.second = second;
             self.lines = 0;
         }
-        let admitted = match weight {
+        let admitted = match importance {
             Importance::Routine => {
                 self.lines < UNSAMPLED_LINES_PER_SECOND
                     || (self.lines < MAX_LINES_PER_SECOND && sample.is_multiple_of(SAMPLE_INTERVAL))
--- a/crates/events/src/event.rs
+++ b/crates/events/src/event.rs
@@ -22,7 +22,7 @@
 }
 
 macro_rules! events {
-    ($($(#[doc = $text:literal])+ $name:ident = $number:literal, $weight:ident { $($(#[doc = $field_text:literal])+ $field:ident : $type:ty),* $(,)? };)+) => {
+    ($($(#[doc = $text:literal])+ $name:ident = $number:literal, $importance:ident { $($(#[doc = $field_text:literal])+ $field:ident : $type:ty),* $(,)? };)+) => {
         /// A log event; durations are in milliseconds.
         #[derive(Clone, Debug, Serialize)]
         #[serde(untagged)]
@@ -33,11 +33,11 @@
         impl Event<'_> {
             /// Number, name, importance and meaning of every event.
             pub const CATALOGUE: &'static [(u32, &'static str, Importance, &'static str)] =
-                &[$(($number, stringify!($name), Importance::$weight, concat!($($text),+))),+];
+                &[$(($number, stringify!($name), Importance::$importance, concat!($($text),+))),+];
 
             /// Number, name and importance of this event.
             pub fn kind(&self) -> (u32, &'static str, Importance) {
-                match self { $(Event::$name { .. } => ($number, stringify!($name), Importance::$weight)),+ }
+                match self { $(Event::$name { .. } => ($number, stringify!($name), Importance::$importance)),+ }
             }
         }
     };
--- a/crates/events/src/metrics.rs
+++ b/crates/events/src/metrics.rs
@@ -245,7 +245,7 @@
 
 /// Replaces the ages of the records in use, by prefix and origin: the time since the store
 /// confirmed them, infinite if unknown.
-pub fn set_known_records_ages<'a>(known: impl Iterator<Item = (&'a str, &'static str, Option<Duration>)>) {
+pub fn set_known_record_ages<'a>(known: impl Iterator<Item = (&'a str, &'static str, Option<Duration>)>) {
     let metrics = metrics();
     metrics.known_records_age.clear();
     for (prefix, origin, age) in known.take(MAX_LABEL_VALUES) {
@@ -256,8 +256,8 @@
 }
 
 /// Counts a finished claim on a slot; `work` is in prompt tokens.
-pub fn count_claim(precedence: u32, tenant: &str, end: SlotOutcome, work: u64) {
-    metrics().tenants.add_claim(precedence, tenant, end, work);
+pub fn count_claim(precedence: u32, tenant: &str, outcome: SlotOutcome, work: u64) {
+    metrics().tenants.add_claim(precedence, tenant, outcome, work);
 }
 
 /// Counts dropped log lines.
--- a/crates/events/src/output.rs
+++ b/crates/events/src/output.rs
@@ -47,12 +47,12 @@
 /// Counts an event and writes its line. `subject` is the id of the request or job of the
 /// event, or empty; all nodes sample the same requests.
 pub fn emit(subject: &str, event: &Event<'_>) {
-    let (number, name, weight) = event.kind();
+    let (number, name, importance) = event.kind();
     metrics::count(event);
     let second = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_secs();
     let Ok(mut guard) = BUDGET.lock() else { return };
     let Some(budget) = guard.as_mut() else { return };
-    if !budget.admit(second, weight, sample_hash(subject)) {
+    if !budget.admit(second, importance, sample_hash(subject)) {
         return;
     }
     let over_budget = budget.take_dropped();
--- a/crates/events/src/tenant_metrics.rs
+++ b/crates/events/src/tenant_metrics.rs
@@ -57,15 +57,15 @@
     }
 
     /// Totals of one claim.
-    fn of(end: SlotOutcome, work: u64) -> Self {
+    fn of(outcome: SlotOutcome, work: u64) -> Self {
         let mut totals = Totals::default();
-        match end {
+        match outcome {
             SlotOutcome::AtOnce => totals.at_once = 1,
             SlotOutcome::InTurn => totals.in_turn = 1,
             SlotOutcome::Late => totals.late = 1,
             SlotOutcome::CrowdedOut => totals.crowded_out = 1,
         }
-        if end != SlotOutcome::CrowdedOut {
+        if outcome != SlotOutcome::CrowdedOut {
             totals.work = work;
         }
         totals
@@ -103,10 +103,10 @@
     }
 
     /// Adds a finished claim; `work` is in prompt tokens.
-    pub(crate) fn add_claim(&self, precedence: u32, tenant: &str, end: SlotOutcome, work: u64) {
+    pub(crate) fn add_claim(&self, precedence: u32, tenant: &str, outcome: SlotOutcome, work: u64) {
         let mut tracked = self.lock();
         let key = TenantLabels { precedence, tenant: tenant.to_owned() };
-        tracked.tenants.entry(key).or_default().add(&Totals::of(end, work));
+        tracked.tenants.entry(key).or_default().add(&Totals::of(outcome, work));
         if tracked.tenants.len() <= MAX_TRACKED_TENANTS {
             return;
         }
--- a/crates/events/tests/catalogue.rs
+++ b/crates/events/tests/catalogue.rs
@@ -12,8 +12,8 @@
     text.push_str(
         "\nLines of the proxy, the jobs and the adapter, on standard output: `time`\n(milliseconds since 1970), `steady` (milliseconds since the start), `node`,\n`role`, `event`, `name`, and the event's own fields (crates/events). Lines of\nroutine events are sampled by request once there are too many; E8004 reports\nthe number of dropped lines.\n\n| event | name | kept | when |\n| --- | --- | --- | --- |\n",
     );
-    for (number, name, weight, meaning) in Event::CATALOGUE {
-        let kept = match weight {
+    for (number, name, importance, meaning) in Event::CATALOGUE {
+        let kept = match importance {
             Importance::Routine => "sampled",
             Importance::Essential => "always",
         };
--- a/crates/events/tests/lines.rs
+++ b/crates/events/tests/lines.rs
@@ -1,7 +1,7 @@
 //! Log output: one JSON object per line, dropped lines, and metrics.
 
 use latchwheel_events::{
-    emit, metrics_text, set_known_records_ages, set_machine_room, set_server_loads, set_server_time_factors, start,
+    emit, metrics_text, set_known_record_ages, set_machine_room, set_server_loads, set_server_time_factors, start,
     Event,
 };
 use std::io::Read;
@@ -72,8 +72,8 @@
     }
     set_server_loads([("server", 2.5)].into_iter());
     set_server_time_factors([("server", 1.5)].into_iter());
-    set_known_records_ages([("table/", "store", None)].into_iter());
-    set_known_records_ages([("table/", "snapshot", Some(Duration::from_millis(2500)))].into_iter());
+    set_known_record_ages([("table/", "store", None)].into_iter());
+    set_known_record_ages([("table/", "snapshot", Some(Duration::from_millis(2500)))].into_iter());
     set_machine_room([("processor", 40)]);
     let text = metrics_text();
     assert!(text.contains("latchwheel_events_total{name=\"DependencyLost\"} 301"), "{text}");
--- a/crates/events/tests/volume.rs
+++ b/crates/events/tests/volume.rs
@@ -3,8 +3,8 @@
 use latchwheel_events::{Importance, LineBudget};
 
 /// Number of lines that are admitted of `lines` in one second.
-fn admitted(budget: &mut LineBudget, second: u64, weight: Importance, lines: u64) -> u64 {
-    (0..lines).filter(|line| budget.admit(second, weight, line * 7 + 1)).count() as u64
+fn admitted(budget: &mut LineBudget, second: u64, importance: Importance, lines: u64) -> u64 {
+    (0..lines).filter(|line| budget.admit(second, importance, line * 7 + 1)).count() as u64
 }
 
 #[test]
--- a/crates/records/src/watch_cache.rs
+++ b/crates/records/src/watch_cache.rs
@@ -21,7 +21,7 @@
 use latchwheel_clock::Clock;
 use latchwheel_core::record_source::{PollWait, RecordSource, SourceChoice, UpstreamState};
 use latchwheel_core::start_snapshot::Knowledge;
-use latchwheel_events::{emit, set_known_records_ages, Event};
+use latchwheel_events::{emit, set_known_record_ages, Event};
 use latchwheel_http::{empty, full, read_bounded, serve, AnswerTimeouts, Body, Client, Version};
 use latchwheel_protocol::{v1, Message};
 use std::collections::BTreeMap;
@@ -156,7 +156,7 @@
     pub fn tell_origins(&self) {
         let entries = lock(&self.entries);
         let known = entries.iter().filter_map(|(prefix, entry)| Some((&**prefix, entry.origin()?.word(), entry.age())));
-        set_known_records_ages(known);
+        set_known_record_ages(known);
     }
 
     /// Answers other nodes at this address.
