--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,12 +1,12 @@
-//! Shared helpers over hyper: serving, calling, bounded bodies.
+//! HTTP server, client and bodies with limits, on top of hyper.
 //!
-//! Towards callers, engines, platform and operators the program speaks
-//! HTTP/1.1, between its own processes HTTP/2 with prior knowledge.
+//! Callers, engines, the platform and operators are connected over HTTP/1.1; the processes
+//! of the system use HTTP/2 with prior knowledge among themselves.
 
 mod body;
 mod client;
 mod server;
 
-pub use body::{channel, empty, full, json, pass, read_bounded, read_moving, Body, BodyFault, BodySender};
-pub use client::{AnswerTimes, CallFault, Client};
-pub use server::{serve, serve_resting, Version};
+pub use body::{boxed, channel, empty, full, json, read_bounded, read_with_timeouts, Body, BodyFault, BodySender};
+pub use client::{AnswerTimeouts, CallFault, Client};
+pub use server::{serve, serve_with_idle_timeout, Version};
