--- a/crates/core/src/jobs/bitmap.rs
+++ b/crates/core/src/jobs/bitmap.rs
@@ -1,4 +1,4 @@
-//! One bit an item.
+//! Bit set of item positions.
 
 const WORD_BITS: u64 = 64;
 
@@ -14,13 +14,13 @@
         Self { words: vec![0; bits.div_ceil(WORD_BITS) as usize] }
     }
 
-    /// Whether the position is in the set.
+    /// Whether the set contains the position.
     pub fn get(&self, position: u64) -> bool {
         let word = self.words.get((position / WORD_BITS) as usize);
         word.is_some_and(|word| word >> (position % WORD_BITS) & 1 == 1)
     }
 
-    /// Adds a position; one beyond the bound is not added.
+    /// Adds a position; ignores one beyond the bound.
     pub fn set(&mut self, position: u64) {
         if let Some(word) = self.words.get_mut((position / WORD_BITS) as usize) {
             *word |= 1 << (position % WORD_BITS);
--- a/crates/core/src/jobs/keys.rs
+++ b/crates/core/src/jobs/keys.rs
@@ -1,6 +1,6 @@
-//! Keys of the stored state.
+//! Tables and keys of the stored state.
 
-/// Table of the stored state. Numbers are on disk and are never used again.
+/// Table of the stored state. The numbers are stored on disk and must not be reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[repr(u32)]
 pub enum StateTable {
@@ -14,7 +14,7 @@
     Result = 3,
     /// Starts of items that must not run twice, by job and position.
     Start = 4,
-    /// Registered requests.
+    /// Requests that may run only once, by key.
     Request = 5,
 }
 
@@ -29,24 +29,24 @@
         StateTable::Request,
     ];
 
-    /// The table with this number.
+    /// Table with this number, if any.
     pub fn from_number(number: u32) -> Option<Self> {
         Self::ALL.into_iter().find(|table| *table as u32 == number)
     }
 }
 
-/// Makes keys.
+/// Constructs the keys of the stored state.
 pub struct StateKey;
 
 impl StateKey {
-    /// Key of an item or of what belongs to it: name, zero byte, position.
+    /// Key of an item, its result or its start: name of the file or job, zero byte, position.
     pub fn item(name: &str, position: u64) -> Vec<u8> {
         let mut key = Self::item_prefix(name);
         key.extend_from_slice(&position.to_be_bytes());
         key
     }
 
-    /// What the keys of all items of a name begin with.
+    /// Common prefix of the item keys of a file or job.
     pub fn item_prefix(name: &str) -> Vec<u8> {
         let mut key = Vec::with_capacity(name.len() + 9);
         key.extend_from_slice(name.as_bytes());
@@ -55,7 +55,7 @@
     }
 }
 
-/// Position in an item's key.
+/// Position that an item's key ends with.
 pub fn position_of_key(key: &[u8]) -> Option<u64> {
     let start = key.len().checked_sub(8)?;
     Some(u64::from_be_bytes(key[start..].try_into().ok()?))
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -1,13 +1,13 @@
-//! The replicated state of a store group: files, batch jobs, their items and
+//! Replicated state machine of a store group: files, batch jobs, their items and
 //! results, and registrations of requests that may run only once.
 //!
-//! Every replica applies the same commands in the same order and gets the
-//! same state. Bodies of items and results live only on disk; in memory each
-//! running job has two bits an item. Invariants:
+//! Every replica applies the same commands in the same order and reaches the
+//! same state. Bodies of items and results are stored on disk only; memory holds
+//! two bits per item of each running job. Invariants:
 //!
 //! - the first committed completion of an item wins, later ones are dropped;
-//! - after a committed cancel no start and no completion is taken;
-//! - an item that must not run twice is started by a committed command.
+//! - after a committed cancellation no start and no completion is accepted;
+//! - an item that must not run twice starts only after its start is committed.
 
 mod bitmap;
 mod keys;
@@ -25,26 +25,26 @@
 use latchwheel_protocol::Message;
 use std::collections::{BTreeMap, HashMap};
 
-/// Most items in one file.
+/// Maximum number of items in one file.
 pub const ITEM_LIMIT: u64 = 1_000_000;
 
-/// A write to the replica's disk that goes with a command.
+/// A write to the replica's disk that a command requires.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// Writes a value.
     Put(StateTable, Vec<u8>, Bytes),
     /// Removes a value.
     Delete(StateTable, Vec<u8>),
-    /// Removes all values whose keys begin so.
+    /// Removes all values whose keys have this prefix.
     DeletePrefix(StateTable, Vec<u8>),
 }
 
-/// What applying a command came to.
+/// Result of applying a command.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Applied {
-    /// Answer to whoever proposed it.
+    /// Answer to the proposer.
     pub outcome: Outcome,
-    /// Writes, to be made in one transaction with the applied index.
+    /// Writes that belong in one transaction with the applied index.
     pub effects: Vec<Effect>,
 }
 
@@ -53,17 +53,15 @@
 pub struct Job {
     /// The record as stored.
     pub record: JobRecord,
-    /// Items with a committed result; empty once the job has ended.
+    /// Items with a committed result; empty after the end of the job.
     pub done: Bitmap,
     /// Items with a committed start, for jobs that must not run items twice.
     pub started: Bitmap,
-    /// Of the started items without a result, the lease request that each was last
-    /// granted to.
+    /// Lease request that each started item without a result was last granted to.
     pub start_requests: HashMap<u64, u64>,
 }
 
 impl Job {
-    /// A job of which nothing is done yet.
     fn new(record: JobRecord) -> Self {
         let bits = record.items;
         Self { record, done: Bitmap::new(bits), started: Bitmap::new(bits), start_requests: HashMap::new() }
@@ -79,14 +77,14 @@
         self.start_requests.remove(&position);
     }
 
-    /// The progress of single items is not needed any more.
+    /// Drops the progress of single items, which an ended job does not need.
     fn forget_items(&mut self) {
         self.done = Bitmap::default();
         self.started = Bitmap::default();
         self.start_requests = HashMap::new();
     }
 
-    /// Whether the job takes no more completions.
+    /// Whether the job is cancelled or all its items have a result.
     pub fn has_ended(&self) -> bool {
         self.record.cancelled || self.record.completed + self.record.failed >= self.record.items
     }
@@ -101,7 +99,7 @@
 }
 
 impl JobState {
-    /// A job.
+    /// Job with this identity.
     pub fn job(&self, job: &str) -> Option<&Job> {
         self.jobs.get(job)
     }
@@ -111,18 +109,18 @@
         self.jobs.values()
     }
 
-    /// A file.
+    /// File with this identity.
     pub fn file(&self, file: &str) -> Option<&FileRecord> {
         self.files.get(file)
     }
 
-    /// A registered request, without its body.
+    /// Registered request with this key, without its body.
     pub fn request(&self, key: &str) -> Option<&RequestRecord> {
         self.requests.get(key)
     }
 
-    /// Takes one stored record when a replica starts; results must come
-    /// after the jobs that they belong to.
+    /// Loads one stored record when a replica starts. Jobs must be loaded before
+    /// their results and starts.
     pub fn load(&mut self, table: StateTable, key: &[u8], value: &[u8]) {
         match table {
             StateTable::File => {
@@ -208,8 +206,8 @@
         };
         let first = command.items.first().map_or(file.items, |item| item.position);
         if first < file.items {
-            // A part that was sent before; its content is checked by the
-            // next part or by the seal, which hash the whole content.
+            // A repeated part. The next part and the seal carry a hash of the whole
+            // content, so different content is detected there.
             return applied(ResultCode::Done, &command.file);
         }
         if file.sealed || command.before != file.content {
@@ -288,8 +286,8 @@
         let mut effects = Vec::new();
         for position in command.positions {
             if position < job.record.items && !job.done.get(position) {
-                // An item that came back unrun is granted again: from then on only its
-                // last holder can say that it didn't run.
+                // An item can be granted again if it did not run. Only the request of
+                // its last start can then be reported as abandoned.
                 job.note_started(position, command.request);
                 let value = start_value(command.holder, command.request);
                 effects.push(Effect::Put(StateTable::Start, StateKey::item(&command.job, position), value));
@@ -404,7 +402,7 @@
         }
         let not_run = ResultCode::from_number(command.code).is_some_and(|code| code.ran() == crate::code::Ran::NotRun);
         if not_run {
-            // It did not run, so that the key is free for another try.
+            // The request did not run, so the key may be used for a retry.
             self.requests.remove(&command.key);
             let effects = vec![Effect::Delete(StateTable::Request, command.key.clone().into_bytes())];
             return Applied { effects, ..applied(ResultCode::Done, &command.key) };
@@ -426,12 +424,12 @@
     Effect::Put(StateTable::File, record.file.clone().into_bytes(), record.encode_to_vec().into())
 }
 
-/// Value of an item's start: holder and lease request.
+/// Stored value of an item's start: holder and lease request.
 fn start_value(holder: u64, request: u64) -> Bytes {
     [holder.to_le_bytes(), request.to_le_bytes()].concat().into()
 }
 
-/// The lease request of a start; zero, which is none, where the value names no request.
+/// Lease request in the stored value of a start; zero if the value has none.
 fn start_request_of(value: &[u8]) -> u64 {
     let request = value.get(8..16).and_then(|bytes| bytes.try_into().ok());
     request.map_or(0, u64::from_le_bytes)
