--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -1,12 +1,12 @@
-//! The scheduler of one owner: online and batch work meet here.
+//! Schedules online and batch work on the servers of one owner.
 //!
-//! - Online work goes before batch work without exception: batch is started
-//!   only on servers whose service has no online work waiting, and an online
-//!   arrival takes the place of a running batch item at once.
-//! - Inside a class, rows share by weight (start-time fair queueing; Goyal et
-//!   al., 1996), with cost counted in tokens.
-//! - A request whose predicted wait exceeds its row's limit is refused at
-//!   once, with the time after which to come back.
+//! - Online work has strict priority: batch work starts only while no online work
+//!   of its service waits, and an online arrival preempts a running batch item
+//!   immediately.
+//! - Within a class, rows share capacity by weight (start-time fair queueing; Goyal
+//!   et al., 1996), with cost counted in tokens.
+//! - A request whose predicted wait exceeds its first-token limit is refused
+//!   immediately, with a retry time.
 
 mod queue;
 mod server;
@@ -27,53 +27,53 @@
 use std::time::Duration;
 use wait::WaitEstimate;
 
-/// Bounds on the time that a refused caller is told to wait.
+/// Bounds on the retry time sent with a refusal.
 const RETRY_AFTER_MINIMUM: Duration = Duration::from_millis(250);
 const RETRY_AFTER_MAXIMUM: Duration = Duration::from_secs(30);
 
-/// How batch work is treated; all but `Yield` exist as baselines.
+/// How online work affects running batch work; `Keep` is a baseline for comparison.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum BatchPolicy {
-    /// Batch fills idle room and gives way at once.
+    /// Batch work fills idle slots and is preempted by online work.
     #[default]
     Yield,
-    /// Batch fills idle room and is never taken back.
+    /// Batch work fills idle slots and is not displaced for online work.
     Keep,
 }
 
-/// What happens to the scheduler.
+/// Input of the scheduler.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// Work arrived.
     Arrive(Work),
     /// Mean time between tokens of an online answer.
     TokenGap(WorkId, Duration),
-    /// Work has ended, successfully or not.
+    /// Work ended, successfully or not.
     Finished(WorkId),
-    /// The caller gave up, or the work's job was cancelled.
+    /// The caller disconnected, or the job of the work was cancelled.
     Withdraw(WorkId),
-    /// A server is owned from now on, or its profile changed.
+    /// A server was added to this owner, or its profile changed.
     ServerUp(ServerId, ServerProfile),
-    /// A server takes no new work.
+    /// A server is draining and receives no new work.
     ServerLeaving(ServerId),
-    /// A server is gone or has another owner; its running work is not touched.
+    /// A server was removed or has another owner; its running work continues.
     ServerGone(ServerId),
-    /// A server failed: it takes no work until this time.
+    /// A server failed and receives no work until this time.
     ServerFailed(ServerId, Instant),
-    /// Weight and concurrency share of a row.
+    /// The share of a row changed.
     RowShare(Arc<str>, RowShare),
-    /// Time passes.
+    /// Time advanced.
     Tick,
 }
 
-/// What a row may take at this owner.
+/// Weight and limits of a row at this owner.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RowShare {
     /// Weight among rows of its class.
     pub weight: f64,
-    /// Work of the row that may run here at once; zero means no limit.
+    /// Maximum number of running requests and items; zero means no limit.
     pub concurrency: u32,
-    /// Work of the row that may wait here; zero means no limit.
+    /// Maximum number of waiting requests; zero means no limit.
     pub queue: u32,
 }
 
@@ -83,14 +83,14 @@
     }
 }
 
-/// What the runtime has to do.
+/// Output of the scheduler, to be carried out by the runtime.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send the work to the server.
     Start(WorkId, ServerId),
-    /// Answer with this code at once.
+    /// Answer with this code and retry time.
     Refuse(WorkId, ResultCode, Duration),
-    /// Break off the batch work, keep its resume point, and queue it again.
+    /// Stop the batch work and keep its resume point; the scheduler has requeued it.
     Preempt(WorkId),
 }
 
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Takes an event and says what to do.
+    /// Handles an event and returns the actions to carry out.
     pub fn handle(&mut self, now: Instant, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
@@ -170,13 +170,13 @@
         actions
     }
 
-    /// The prefix index, for cache events.
+    /// Prefix index, for updates from cache events.
     pub fn prefixes(&mut self) -> &mut PrefixIndex {
         &mut self.prefixes
     }
 
-    /// Batch items that could start now or soon, per service, beyond those
-    /// that are here already.
+    /// Number of further batch items of a service that could start now or soon,
+    /// not counting those that already wait here.
     pub fn batch_room(&self, now: Instant, service: &str) -> u32 {
         let room: u32 = self
             .servers
@@ -188,23 +188,23 @@
         room.saturating_sub(here)
     }
 
-    /// Online requests of a service that could start now, and those that wait.
+    /// Slots of a service without online work, and its waiting online requests.
     pub fn online_room(&self, now: Instant, service: &str) -> (u32, u32) {
         let (_, free) = self.open_slots(now, service);
         (free, self.online.get(service).map_or(0, RowQueues::waiting))
     }
 
-    /// What a row may take here, if that was told.
+    /// Share of a row, if one was set.
     pub fn row_share(&self, row: &str) -> Option<RowShare> {
         self.shares.get(row).copied()
     }
 
-    /// Work that was started on a server so far.
+    /// Number of starts on a server since it was added.
     pub fn starts_of(&self, server: ServerId) -> u64 {
         self.servers.get(&server).map_or(0, |server| server.starts)
     }
 
-    /// Services that the owned servers offer.
+    /// Services of the owned servers, sorted.
     pub fn services(&self) -> Vec<Arc<str>> {
         let mut services: Vec<Arc<str>> = self.servers.values().map(|server| server.profile.service.clone()).collect();
         services.sort_unstable();
@@ -212,18 +212,18 @@
         services
     }
 
-    /// The owned servers, for reports.
+    /// Load of the owned servers, for reports.
     pub fn views(&self) -> Vec<(ServerId, ServerView)> {
         self.servers.iter().map(|(id, server)| (*id, server.view())).collect()
     }
 
-    /// Online work that runs or waits here.
+    /// Number of online requests that run or wait here.
     pub fn online_in_progress(&self) -> usize {
         let running = self.running.values().filter(|running| running.work.class == Class::Online).count();
         running + self.online.values().map(|queues| queues.waiting() as usize).sum::<usize>()
     }
 
-    /// Batch work that waits here, taken out of the queues to be given back.
+    /// Removes all waiting batch items from the queues and returns them.
     pub fn drain_batch(&mut self) -> Vec<WorkId> {
         self.batch.values_mut().flat_map(RowQueues::drain).collect()
     }
@@ -260,7 +260,7 @@
         }
     }
 
-    /// Slots of the open servers of a service, and those without online work.
+    /// Slots of the available servers of a service, and those without online work.
     fn open_slots(&self, now: Instant, service: &str) -> (u32, u32) {
         let open = self.servers.values().filter(|server| server.is_open(now) && *server.profile.service == *service);
         open.fold((0, 0), |(slots, free), server| {
@@ -314,7 +314,7 @@
             }
             None => {
                 let mut added = Server::new(profile);
-                // Work sent before the server was lost and won again still runs.
+                // Work that was started before the server was removed may still run.
                 for running in self.running.values().filter(|running| running.server == server) {
                     added.note_start(running.work.class, running.work.cost);
                 }
@@ -331,7 +331,7 @@
         }
     }
 
-    /// Starts what can start: online first, on every server; then batch.
+    /// Starts waiting work on free slots: online work of all services first, then batch.
     fn fill(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let online_services: Vec<Arc<str>> = waiting_services(&self.online);
         for service in online_services {
@@ -361,8 +361,8 @@
         }
     }
 
-    /// The open server with a free slot that has the longest cached prefix
-    /// per load; batch work doesn't count as load where it gives way.
+    /// Chooses the available server with the least online load, offset by the length
+    /// of the cached prefix.
     fn choose_online_server(&self, now: Instant, work: &Work) -> Option<ServerId> {
         let yields = self.policy == BatchPolicy::Yield;
         self.servers
@@ -377,7 +377,7 @@
             .map(|(id, _)| *id)
     }
 
-    /// Takes back batch items, the latest first, until the work fits.
+    /// Preempts batch items, the most recently started first, until the work fits.
     fn make_room(&mut self, server: ServerId, work: &Work, actions: &mut Vec<Action>) {
         while self.servers.get(&server).is_some_and(|server| !server.fits(work.cost) && server.batch > 0) {
             let latest = self
--- a/crates/core/src/scheduler/queue.rs
+++ b/crates/core/src/scheduler/queue.rs
@@ -1,4 +1,4 @@
-//! Queues of the rows of one service and class, shared by weight.
+//! Fair queue over the rows of one service and class.
 
 use super::RowShare;
 use crate::identity::WorkId;
@@ -8,10 +8,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A piece of work as the scheduler sees it.
+/// A request or batch item to schedule.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Work {
-    /// Identity inside the node.
+    /// Identity, unique within the node.
     pub id: WorkId,
     /// Row of the table.
     pub row: Arc<str>,
@@ -19,30 +19,30 @@
     pub class: Class,
     /// Service whose servers do the work.
     pub service: Arc<str>,
-    /// Model or adapter that is needed; empty means any.
+    /// Required model or adapter; empty means any.
     pub model: Arc<str>,
-    /// Tokens of the prompt and the longest answer.
+    /// Tokens of the prompt plus the maximum number of output tokens.
     pub cost: u32,
     /// Hashes of the prompt's blocks.
     pub blocks: Arc<[u64]>,
-    /// When the work is worth nothing any more.
+    /// Time after which waiting online work is refused.
     pub deadline: Option<Instant>,
-    /// Longest predicted wait.
+    /// Maximum predicted wait; work that would wait longer is refused.
     pub first_token_limit: Option<Duration>,
-    /// Whether a run that was begun may be broken off and taken up again.
+    /// Whether a run may be stopped and resumed.
     pub preemptible: bool,
-    /// Server that must not be used again, after a failed attempt.
+    /// Server to exclude, after a failed attempt there.
     pub avoid: Option<crate::identity::ServerId>,
 }
 
 #[derive(Debug, Default)]
 struct RowQueue {
     waiting: VecDeque<Work>,
-    /// Virtual time at which the row's next work starts.
+    /// Virtual start time of the next work of the row.
     start: f64,
 }
 
-/// The queues of the rows.
+/// Queues by row, with the virtual time of fair queueing.
 #[derive(Debug, Default)]
 pub(super) struct RowQueues {
     rows: BTreeMap<Arc<str>, RowQueue>,
@@ -64,8 +64,7 @@
         self.waiting += 1;
     }
 
-    /// Puts work back that was taken and did not run to its end; its row is
-    /// charged anew when it is taken again.
+    /// Returns popped work to the head of its row's queue and refunds its charge.
     pub(super) fn put_back(&mut self, work: Work, shares: &HashMap<Arc<str>, RowShare>) {
         let charge = charge(&work, shares);
         let queue = self.queue_for(&work);
@@ -78,15 +77,14 @@
         let virtual_time = self.virtual_time;
         let queue = self.rows.entry(work.row.clone()).or_default();
         if queue.waiting.is_empty() {
-            // A row that was idle starts at the present virtual time: it
-            // can't save up a share while it has nothing to do.
+            // Idle rows must not accumulate a share.
             queue.start = queue.start.max(virtual_time);
         }
         queue
     }
 
-    /// Takes the next work of the row with the least virtual start among
-    /// those below their concurrency limit.
+    /// Removes the next work of the row with the earliest virtual start among the
+    /// rows below their concurrency limit.
     pub(super) fn pop(
         &mut self,
         shares: &HashMap<Arc<str>, RowShare>,
@@ -140,7 +138,7 @@
     }
 }
 
-/// Virtual time that a piece of work costs its row.
+/// Virtual time charged to a row for work.
 fn charge(work: &Work, shares: &HashMap<Arc<str>, RowShare>) -> f64 {
     let weight = shares.get(&work.row).map_or(1.0, |share| share.weight);
     f64::from(work.cost) / weight
--- a/crates/core/src/scheduler/server.rs
+++ b/crates/core/src/scheduler/server.rs
@@ -1,5 +1,4 @@
-//! One server as its owner sees it: what runs there, and how much batch work
-//! it may hold.
+//! State of one server: running work and the adaptive limit on batch work.
 
 use super::Work;
 use crate::table::Class;
@@ -7,54 +6,53 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Weight of one cached block against one running request in the choice of a
-/// server, in thousandths: eight blocks are worth one request.
+/// Weights in the choice of a server: eight cached blocks offset one running request.
 const MATCHED_BLOCK_WORTH: i64 = 125;
 const RUNNING_WORTH: i64 = 1000;
 
-/// Batch gives way where the time between tokens exceeds its undisturbed
-/// value by this factor.
+/// The batch limit shrinks when the time between tokens exceeds its value without
+/// batch work by this factor.
 const GAP_LIMIT: f64 = 1.05;
-/// Share of the batch limit that is left after giving way.
+/// Factor by which the batch limit shrinks.
 const YIELD_FACTOR: f64 = 0.7;
-/// Least time between two changes of the batch limit.
+/// Minimum time between two changes of the batch limit.
 const ADAPT_INTERVAL: Duration = Duration::from_millis(250);
-/// Share of a new sample in the smoothed time between tokens.
+/// Weight of a new sample in the smoothed time between tokens.
 const SMOOTHING: f64 = 0.1;
 
-/// What is known of a server from the machine list and its load report.
+/// Properties of a server from the machine list and its load report.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerProfile {
     /// Name in the machine list.
     pub name: Arc<str>,
-    /// Service that it offers.
+    /// Service of the server.
     pub service: Arc<str>,
-    /// Models and adapters that are loaded; empty means any.
+    /// Loaded models and adapters; empty means any.
     pub models: Vec<Arc<str>>,
-    /// Requests that the engine runs at once.
+    /// Maximum number of concurrent requests.
     pub slots: u32,
-    /// Tokens that fit into its cache memory.
+    /// Capacity of the cache memory in tokens.
     pub token_capacity: u64,
 }
 
-/// Numbers on a server, for reports.
+/// Load of a server, for reports.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerView {
     /// Name in the machine list.
     pub name: Arc<str>,
-    /// Service that it offers.
+    /// Service of the server.
     pub service: Arc<str>,
-    /// Online requests that run.
+    /// Running online requests.
     pub online: u32,
-    /// Batch items that run.
+    /// Running batch items.
     pub batch: u32,
-    /// Batch items that may run.
+    /// Present limit on running batch items.
     pub batch_limit: u32,
-    /// Whether it is leaving.
+    /// Whether the server is draining.
     pub leaving: bool,
 }
 
-/// The adaptive limit on batch work: slow to grow, at once to yield.
+/// Adaptive limit on batch work, with additive increase and multiplicative decrease.
 #[derive(Debug)]
 pub(super) struct BatchFill {
     limit: f64,
@@ -79,7 +77,7 @@
         self.limit.max(1.0) as u32
     }
 
-    /// Adapts the limit to the time between tokens of an online answer.
+    /// Adapts the limit to the observed time between tokens of an online answer.
     pub(super) fn note_token_gap(&mut self, now: Instant, gap: Duration, batch: u32) {
         let gap = gap.as_secs_f64();
         if batch == 0 {
@@ -147,7 +145,7 @@
         running < self.profile.slots && (running == 0 || self.tokens + u64::from(cost) <= self.profile.token_capacity)
     }
 
-    /// Whether an online request can start, taking back batch work if need be.
+    /// Whether an online request can start, with preemption of batch work if allowed.
     pub(super) fn has_online_slot(&self, batch_yields: bool, cost: u32) -> bool {
         if batch_yields && self.batch > 0 {
             return self.online < self.profile.slots;
@@ -159,8 +157,8 @@
         self.batch < self.fill.allowed() && self.fits(cost)
     }
 
-    /// Batch items that the server should have at hand: those that can start
-    /// now, and as many again to follow them without a pause.
+    /// Number of batch items to hold for the server: those that can start now, and a
+    /// reserve of half the slots without online work, so that slots don't idle.
     pub(super) fn batch_target(&self) -> u32 {
         let free = self.profile.slots.saturating_sub(self.online + self.batch);
         let allowed = self.fill.allowed().saturating_sub(self.batch);
--- a/crates/core/src/scheduler/wait.rs
+++ b/crates/core/src/scheduler/wait.rs
@@ -1,10 +1,11 @@
-//! Prediction of the wait of a new request from the observed service time.
+//! Predicts the wait of a new request from observed service times.
 
 use std::time::Duration;
 
+/// Weight of a new sample in the smoothed service time.
 const SMOOTHING: f64 = 0.05;
 
-/// Smoothed time that a slot is taken by one online request.
+/// Smoothed time for which one online request occupies a slot.
 #[derive(Debug, Default)]
 pub(super) struct WaitEstimate {
     service_seconds: Option<f64>,
@@ -17,8 +18,7 @@
         self.service_seconds = Some(present + (sample - present) * SMOOTHING);
     }
 
-    /// Wait of the request at this place of the queue, with so many slots
-    /// that each take the next request after one service time.
+    /// Predicted wait at a queue position, counted from one, with `slots` slots in use.
     pub(super) fn predict(&self, place: u32, slots: u32) -> Duration {
         let seconds = self.service_seconds.unwrap_or(0.0) * f64::from(place) / f64::from(slots.max(1));
         Duration::from_secs_f64(seconds)
