--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -129,10 +129,10 @@
                 }
             }
             StateTable::Job => self.load_job(value),
-            StateTable::Result => self.load_mark(key, Job::note_done),
+            StateTable::Result => self.load_item_mark(key, Job::note_done),
             StateTable::Start => {
                 let request = start_request_of(value);
-                self.load_mark(key, |job, position| job.note_started(position, request));
+                self.load_item_mark(key, |job, position| job.note_started(position, request));
             }
             StateTable::Request => {
                 if let Ok(record) = RequestRecord::decode(value) {
@@ -149,7 +149,7 @@
         }
     }
 
-    fn load_mark(&mut self, key: &[u8], mark: impl Fn(&mut Job, u64)) {
+    fn load_item_mark(&mut self, key: &[u8], mark: impl Fn(&mut Job, u64)) {
         let Some((name, position)) = keys::split_item_key(key) else { return };
         if let Some(job) = self.jobs.get_mut(name).filter(|job| !job.has_ended()) {
             mark(job, position);
@@ -250,8 +250,8 @@
     // ---- Jobs ----
 
     fn create_job(&mut self, command: CreateJob) -> Applied {
-        if let Some(present) = self.jobs.get(&command.job) {
-            let same = present.record.request_hash == command.request_hash;
+        if let Some(existing) = self.jobs.get(&command.job) {
+            let same = existing.record.request_hash == command.request_hash;
             return applied(if same { ResultCode::Done } else { ResultCode::KeyReused }, &command.job);
         }
         let file = self.files.get(&command.file).filter(|file| file.tenant == command.tenant);
@@ -367,17 +367,17 @@
     // ---- Requests that may run only once ----
 
     fn register_request(&mut self, command: RegisterRequest) -> Applied {
-        if let Some(present) = self.requests.get(&command.key) {
-            let same = present.request_hash == command.request_hash;
-            let code = match (same, present.finished) {
+        if let Some(existing) = self.requests.get(&command.key) {
+            let same = existing.request_hash == command.request_hash;
+            let code = match (same, existing.finished) {
                 (false, _) => ResultCode::KeyReused,
-                (true, false) if present.token == command.token => ResultCode::Accepted,
-                (true, true) => ResultCode::from_number(present.code).unwrap_or(ResultCode::OutcomeUnknown),
+                (true, false) if existing.token == command.token => ResultCode::Accepted,
+                (true, true) => ResultCode::from_number(existing.code).unwrap_or(ResultCode::OutcomeUnknown),
                 (true, false) => ResultCode::InProgress,
             };
             let mut result = applied(code, &command.key);
-            result.outcome.status = present.status;
-            result.outcome.accepted = present.holder;
+            result.outcome.status = existing.status;
+            result.outcome.accepted = existing.holder;
             return result;
         }
         let record = RequestRecord {
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -166,7 +166,7 @@
             Event::Tick => {}
         }
         self.expire(now, &mut actions);
-        self.fill(now, &mut actions);
+        self.start_waiting(now, &mut actions);
         actions
     }
 
@@ -178,14 +178,14 @@
     /// Number of further batch items of a service that could start now or soon,
     /// not counting those that already wait here.
     pub fn batch_room(&self, now: Instant, service: &str) -> u32 {
-        let room: u32 = self
+        let target: u32 = self
             .servers
             .values()
             .filter(|server| server.is_open(now) && *server.profile.service == *service)
             .map(|server| server.batch_target())
             .sum();
-        let here = self.batch.get(service).map_or(0, RowQueues::waiting);
-        room.saturating_sub(here)
+        let waiting = self.batch.get(service).map_or(0, RowQueues::waiting);
+        target.saturating_sub(waiting)
     }
 
     /// Slots of a service without online work, and its waiting online requests.
@@ -264,15 +264,15 @@
     fn open_slots(&self, now: Instant, service: &str) -> (u32, u32) {
         let open = self.servers.values().filter(|server| server.is_open(now) && *server.profile.service == *service);
         open.fold((0, 0), |(slots, free), server| {
-            let own = server.profile.slots;
-            (slots + own, free + own.saturating_sub(server.online))
+            let server_slots = server.profile.slots;
+            (slots + server_slots, free + server_slots.saturating_sub(server.online))
         })
     }
 
     fn note_token_gap(&mut self, now: Instant, work: WorkId, gap: Duration) {
         if let Some(server) = self.running.get(&work).and_then(|running| self.servers.get_mut(&running.server)) {
             let batch = server.batch;
-            server.fill.note_token_gap(now, gap, batch);
+            server.batch_limit.note_token_gap(now, gap, batch);
         }
     }
 
@@ -308,9 +308,9 @@
 
     fn server_up(&mut self, server: ServerId, profile: ServerProfile) {
         match self.servers.get_mut(&server) {
-            Some(present) => {
-                present.leaving = false;
-                present.profile = profile;
+            Some(existing) => {
+                existing.leaving = false;
+                existing.profile = profile;
             }
             None => {
                 let mut added = Server::new(profile);
@@ -332,7 +332,7 @@
     }
 
     /// Starts waiting work on free slots: online work of all services first, then batch.
-    fn fill(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    fn start_waiting(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let online_services: Vec<Arc<str>> = waiting_services(&self.online);
         for service in online_services {
             self.start_online(now, &service, actions);
@@ -350,7 +350,7 @@
             let Some(work) = self.pop_eligible(Class::Online, service) else { return };
             match self.choose_online_server(now, &work) {
                 Some(server) => {
-                    self.make_room(server, &work, actions);
+                    self.preempt_batch(server, &work, actions);
                     self.start(now, work, server, actions);
                 }
                 None => {
@@ -378,7 +378,7 @@
     }
 
     /// Preempts batch items, the most recently started first, until the work fits.
-    fn make_room(&mut self, server: ServerId, work: &Work, actions: &mut Vec<Action>) {
+    fn preempt_batch(&mut self, server: ServerId, work: &Work, actions: &mut Vec<Action>) {
         while self.servers.get(&server).is_some_and(|server| !server.fits(work.cost) && server.batch > 0) {
             let latest = self
                 .running
--- a/crates/core/src/scheduler/queue.rs
+++ b/crates/core/src/scheduler/queue.rs
@@ -121,11 +121,11 @@
         let mut expired = Vec::new();
         for queue in self.rows.values_mut() {
             queue.waiting.retain(|work| {
-                let over = work.deadline.is_some_and(|deadline| deadline <= now);
-                if over {
+                let is_expired = work.deadline.is_some_and(|deadline| deadline <= now);
+                if is_expired {
                     expired.push(work.id);
                 }
-                !over
+                !is_expired
             });
         }
         self.waiting -= expired.len() as u32;
--- a/crates/core/src/scheduler/server.rs
+++ b/crates/core/src/scheduler/server.rs
@@ -7,14 +7,14 @@
 use std::time::Duration;
 
 /// Weights in the choice of a server: eight cached blocks offset one running request.
-const MATCHED_BLOCK_WORTH: i64 = 125;
-const RUNNING_WORTH: i64 = 1000;
+const MATCHED_BLOCK_WEIGHT: i64 = 125;
+const RUNNING_WEIGHT: i64 = 1000;
 
 /// The batch limit shrinks when the time between tokens exceeds its value without
 /// batch work by this factor.
 const GAP_LIMIT: f64 = 1.05;
 /// Factor by which the batch limit shrinks.
-const YIELD_FACTOR: f64 = 0.7;
+const DECREASE_FACTOR: f64 = 0.7;
 /// Minimum time between two changes of the batch limit.
 const ADAPT_INTERVAL: Duration = Duration::from_millis(250);
 /// Weight of a new sample in the smoothed time between tokens.
@@ -54,22 +54,22 @@
 
 /// Adaptive limit on batch work, with additive increase and multiplicative decrease.
 #[derive(Debug)]
-pub(super) struct BatchFill {
+pub(super) struct BatchLimit {
     limit: f64,
     ceiling: f64,
-    undisturbed: Option<f64>,
-    smoothed: Option<f64>,
-    changed: Instant,
+    gap_without_batch: Option<f64>,
+    smoothed_gap: Option<f64>,
+    changed_at: Instant,
 }
 
-impl BatchFill {
+impl BatchLimit {
     fn new(slots: u32) -> Self {
         Self {
             limit: f64::from(slots),
             ceiling: f64::from(slots),
-            undisturbed: None,
-            smoothed: None,
-            changed: Instant::default(),
+            gap_without_batch: None,
+            smoothed_gap: None,
+            changed_at: Instant::default(),
         }
     }
 
@@ -81,25 +81,25 @@
     pub(super) fn note_token_gap(&mut self, now: Instant, gap: Duration, batch: u32) {
         let gap = gap.as_secs_f64();
         if batch == 0 {
-            self.undisturbed = Some(smooth(self.undisturbed, gap));
+            self.gap_without_batch = Some(smooth(self.gap_without_batch, gap));
         }
-        let smoothed = smooth(self.smoothed, gap);
-        self.smoothed = Some(smoothed);
-        if now.since(self.changed) < ADAPT_INTERVAL {
+        let smoothed_gap = smooth(self.smoothed_gap, gap);
+        self.smoothed_gap = Some(smoothed_gap);
+        if now.since(self.changed_at) < ADAPT_INTERVAL {
             return;
         }
-        self.changed = now;
-        match self.undisturbed {
-            Some(undisturbed) if smoothed > undisturbed * GAP_LIMIT => {
-                self.limit = (self.limit * YIELD_FACTOR).max(1.0);
+        self.changed_at = now;
+        match self.gap_without_batch {
+            Some(gap_without_batch) if smoothed_gap > gap_without_batch * GAP_LIMIT => {
+                self.limit = (self.limit * DECREASE_FACTOR).max(1.0);
             }
             _ => self.limit = (self.limit + 1.0).min(self.ceiling),
         }
     }
 }
 
-fn smooth(present: Option<f64>, sample: f64) -> f64 {
-    present.map_or(sample, |present| present + (sample - present) * SMOOTHING)
+fn smooth(old: Option<f64>, sample: f64) -> f64 {
+    old.map_or(sample, |old| old + (sample - old) * SMOOTHING)
 }
 
 #[derive(Debug)]
@@ -111,12 +111,12 @@
     pub(super) starts: u64,
     pub(super) leaving: bool,
     pub(super) closed_until: Instant,
-    pub(super) fill: BatchFill,
+    pub(super) batch_limit: BatchLimit,
 }
 
 impl Server {
     pub(super) fn new(profile: ServerProfile) -> Self {
-        let fill = BatchFill::new(profile.slots);
+        let batch_limit = BatchLimit::new(profile.slots);
         Self {
             profile,
             online: 0,
@@ -125,7 +125,7 @@
             starts: 0,
             leaving: false,
             closed_until: Instant::default(),
-            fill,
+            batch_limit,
         }
     }
 
@@ -154,19 +154,19 @@
     }
 
     pub(super) fn has_batch_slot(&self, cost: u32) -> bool {
-        self.batch < self.fill.allowed() && self.fits(cost)
+        self.batch < self.batch_limit.allowed() && self.fits(cost)
     }
 
     /// Number of batch items to hold for the server: those that can start now, and a
     /// reserve of half the slots without online work, so that slots don't idle.
     pub(super) fn batch_target(&self) -> u32 {
         let free = self.profile.slots.saturating_sub(self.online + self.batch);
-        let allowed = self.fill.allowed().saturating_sub(self.batch);
+        let allowed = self.batch_limit.allowed().saturating_sub(self.batch);
         free.min(allowed) + self.profile.slots.saturating_sub(self.online).div_ceil(2)
     }
 
     pub(super) fn online_cost(&self, matched: usize) -> i64 {
-        i64::from(self.online) * RUNNING_WORTH - matched as i64 * MATCHED_BLOCK_WORTH
+        i64::from(self.online) * RUNNING_WEIGHT - matched as i64 * MATCHED_BLOCK_WEIGHT
     }
 
     pub(super) fn note_start(&mut self, class: Class, cost: u32) {
@@ -192,7 +192,7 @@
             service: self.profile.service.clone(),
             online: self.online,
             batch: self.batch,
-            batch_limit: self.fill.allowed(),
+            batch_limit: self.batch_limit.allowed(),
             leaving: self.leaving,
         }
     }
--- a/crates/core/src/scheduler/wait.rs
+++ b/crates/core/src/scheduler/wait.rs
@@ -14,13 +14,13 @@
 impl WaitEstimate {
     pub(super) fn note_service_time(&mut self, time: Duration) {
         let sample = time.as_secs_f64();
-        let present = self.service_seconds.unwrap_or(sample);
-        self.service_seconds = Some(present + (sample - present) * SMOOTHING);
+        let old = self.service_seconds.unwrap_or(sample);
+        self.service_seconds = Some(old + (sample - old) * SMOOTHING);
     }
 
     /// Predicted wait at a queue position, counted from one, with `slots` slots in use.
-    pub(super) fn predict(&self, place: u32, slots: u32) -> Duration {
-        let seconds = self.service_seconds.unwrap_or(0.0) * f64::from(place) / f64::from(slots.max(1));
+    pub(super) fn predict(&self, position: u32, slots: u32) -> Duration {
+        let seconds = self.service_seconds.unwrap_or(0.0) * f64::from(position) / f64::from(slots.max(1));
         Duration::from_secs_f64(seconds)
     }
 }
