--- a/crates/core/src/lapse_grace.rs
+++ b/crates/core/src/lapse_grace.rs
@@ -1,23 +1,22 @@
-//! Whether a registration that is missing in the record store may belong to a
-//! live process: an outage can make leases run out, and after it each live
-//! process needs a while to register itself again.
+//! Grace period for registrations that are missing in the record store.
 //!
-//! The grace counts from the time at which the store is known to answer again,
-//! not from the time at which this node noticed.
+//! Leases expire during an outage, and each live process needs some time after it to
+//! register again. Until then a missing registration may belong to a live process.
+//! The grace period starts when the store answers again, not when this node detects it.
 
 use crate::time::Instant;
 use std::time::Duration;
 
-/// What is known of the record store.
+/// Reachability of the record store.
 #[derive(Clone, Copy, Debug)]
 enum StoreState {
-    /// It does not answer, or never did.
+    /// The store does not answer, or has not answered yet.
     Away,
-    /// It has answered since that time.
+    /// The store has answered since this time.
     Answering(Instant),
 }
 
-/// Time after an outage in which missing registrations prove nothing.
+/// Decides whether a missing registration may have expired because of an outage.
 #[derive(Clone, Debug)]
 pub struct LapseGrace {
     grace: Duration,
@@ -25,12 +24,13 @@
 }
 
 impl LapseGrace {
-    /// Live processes are registered again so long after the store's return.
+    /// Creates the state for processes that register again within `grace` after the
+    /// store returns.
     pub fn new(grace: Duration) -> Self {
         Self { grace, store: StoreState::Away }
     }
 
-    /// The store does not answer, or has answered for that time.
+    /// Records for how long the store has answered; `None` if it does not answer.
     pub fn note_store(&mut self, now: Instant, answering_for: Option<Duration>) {
         self.store = match answering_for {
             Some(time) => StoreState::Answering(now - time),
@@ -38,7 +38,7 @@
         };
     }
 
-    /// Whether a registration that is missing may belong to a live process.
+    /// Whether a missing registration may belong to a live process.
     pub fn may_have_lapsed(&self, now: Instant) -> bool {
         match self.store {
             StoreState::Away => true,
@@ -46,7 +46,7 @@
         }
     }
 
-    /// When the grace ends or ended; `None` while the store is away.
+    /// End of the grace period; `None` while the store is unreachable.
     pub fn end(&self) -> Option<Instant> {
         match self.store {
             StoreState::Away => None,
--- a/crates/core/src/live_workers.rs
+++ b/crates/core/src/live_workers.rs
@@ -1,55 +1,55 @@
-//! The workers among which jobs are divided.
+//! Live workers, among which jobs are divided.
 //!
-//! A job that goes to another worker runs again from its last listed result, so
-//! that no worker is given up for a registration that an outage of the store
-//! made lapse: it stays for a grace after the store's return.
+//! A job that moves to another worker resumes from its last listed result. To avoid
+//! such moves, a worker whose registration expired during an outage of the record
+//! store stays live for a grace period after the return of the store.
 
 use crate::lapse_grace::LapseGrace;
 use crate::time::Instant;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-/// Time after the store's return in which every live worker has registered
-/// itself again: it hears of the return within a probe of an upstream (250 ms)
-/// and calls within 200 ms; the rest is for a call that hangs (1.5 s at most).
+/// Time after the return of the store within which every live worker registers again:
+/// one upstream probe (250 ms), the delay of the call (200 ms) and its timeout (1.5 s).
 pub const RETURN_GRACE: Duration = Duration::from_secs(2);
 
-/// The workers that live, as far as the store tells.
+/// Workers that are registered in the store, or whose registration may be missing
+/// because of an outage.
 #[derive(Debug)]
 pub struct LiveWorkers {
-    /// All of them, the vanished ones among them.
+    /// All live workers, including `vanished`.
     names: BTreeSet<String>,
-    /// Those whose registration vanished around an outage.
+    /// Workers whose registration disappeared during an outage or its grace period.
     vanished: BTreeSet<String>,
     lapse: LapseGrace,
 }
 
 impl Default for LiveWorkers {
-    /// None is known yet.
+    /// No workers.
     fn default() -> Self {
         Self { names: BTreeSet::new(), vanished: BTreeSet::new(), lapse: LapseGrace::new(RETURN_GRACE) }
     }
 }
 
 impl LiveWorkers {
-    /// Their names.
+    /// Names of the live workers.
     pub fn names(&self) -> &BTreeSet<String> {
         &self.names
     }
 
-    /// The store does not answer, or has answered for that time.
+    /// Records for how long the store has answered; `None` if it does not answer.
     pub fn note_store(&mut self, now: Instant, answering_for: Option<Duration>) {
         self.lapse.note_store(now, answering_for);
     }
 
-    /// A worker is registered; tells whether that is news.
+    /// Records a registered worker; returns whether it is new.
     pub fn note_registered(&mut self, worker: &str) -> bool {
         self.vanished.remove(worker);
         self.names.insert(worker.to_owned())
     }
 
-    /// A worker took its registration back, or it lapsed; tells whether the
-    /// worker is given up.
+    /// Records that a registration was removed or expired; returns whether the worker
+    /// is removed.
     pub fn note_missing(&mut self, now: Instant, worker: &str) -> bool {
         if !self.names.contains(worker) {
             return false;
@@ -62,19 +62,20 @@
         self.names.remove(worker)
     }
 
-    /// These are all that are registered; tells whether any worker is given up.
+    /// Records the complete set of registered workers; returns whether any worker is
+    /// removed. Does not add new ones.
     pub fn note_all(&mut self, now: Instant, registered: &BTreeSet<&str>) -> bool {
         let missing: Vec<String> =
             self.names.iter().filter(|worker| !registered.contains(worker.as_str())).cloned().collect();
         missing.iter().filter(|worker| self.note_missing(now, worker)).count() > 0
     }
 
-    /// When workers are given up whose registration does not return.
+    /// Time at which workers without a registration are removed, if there are any.
     pub fn next_end(&self) -> Option<Instant> {
         self.lapse.end().filter(|_| !self.vanished.is_empty())
     }
 
-    /// Time passes; tells whether any worker is given up.
+    /// Removes vanished workers after the grace period; returns whether any were removed.
     pub fn tick(&mut self, now: Instant) -> bool {
         if self.lapse.may_have_lapsed(now) {
             return false;
--- a/crates/core/src/queue_limit.rs
+++ b/crates/core/src/queue_limit.rs
@@ -1,38 +1,37 @@
-//! The limit on batch work that may wait on a route, over all nodes.
+//! Limit on the batch work that waits on a route, over all nodes.
 //!
-//! No node counts for all: a node that takes a job knows what the nodes that
-//! run jobs told, and what it took itself a moment ago. A job that it took
-//! counts here until the node that runs it has had time to tell of it; for a
-//! moment it may count twice. While the record store is away no other node can
-//! learn of the job, so that it goes on counting here.
+//! No node counts for all others. A node that accepts a job adds the queues reported
+//! by the nodes that run jobs to the jobs that it accepted recently. An accepted job
+//! counts here until the node that runs it has had time to report it, so it may count
+//! twice for a short time. While the record store is unreachable, no other node can
+//! take over the job, so it keeps counting here.
 
 use crate::dispatch::RouteKey;
 use crate::time::Instant;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time in which a node that runs a new job hears of it and tells others: the
-/// one that it was assigned to may be dead, so that another takes it over once
-/// its lease has run out (4.5 s).
+/// Time within which a new job appears in the reports of the node that runs it. If the
+/// node that it was assigned to is dead, another takes over after the lease (4.5 s).
 pub const HANDOVER_TIME: Duration = Duration::from_secs(6);
-/// Time for which a job that is kept on disks counts where it was taken: the
-/// store has to come back first.
+/// Time for which a spooled job counts at the node that accepted it: the store must
+/// return first.
 const SPOOLED_TIME: Duration = Duration::from_secs(10);
-/// Part of the permitted excess that a node makes use of: figures are late, and
-/// a job that would have fitted must not be refused.
+/// Part of the permitted excess that a node uses. Reports lag, and a job within the
+/// limit must not be refused.
 const USED_EXCESS: f64 = 0.5;
 
-/// The limit of a route.
+/// Limit of a route.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QueueLimit {
-    /// Tokens that may wait.
+    /// Maximum number of waiting tokens.
     pub tokens: u64,
-    /// Share of these by which they may be exceeded.
+    /// Fraction by which `tokens` may be exceeded.
     pub excess: f64,
 }
 
 impl QueueLimit {
-    /// Whether `tokens` more may wait where `queued` do.
+    /// Whether `tokens` more may wait in addition to `queued`.
     pub fn fits(&self, queued: u64, tokens: u64) -> bool {
         let most = self.tokens as f64 * (1.0 + self.excess * USED_EXCESS);
         queued.saturating_add(tokens) as f64 <= most
@@ -46,37 +45,38 @@
     until: Instant,
 }
 
-/// The jobs that a node took lately, which others don't tell of yet.
+/// Recently accepted jobs of a node that other nodes may not report yet.
 #[derive(Debug, Default)]
 pub struct PendingJobs {
     jobs: HashMap<String, Pending>,
 }
 
 impl PendingJobs {
-    /// A job is being taken; one that comes again counts once.
+    /// Records that a job is being accepted; a repeated job counts once.
     pub fn note(&mut self, now: Instant, route: RouteKey, job: &str, tokens: u64) {
         let pending = Pending { route, tokens, until: now + HANDOVER_TIME };
         self.jobs.insert(job.to_owned(), pending);
     }
 
-    /// A job is kept on disks, since the store did not take it in time.
+    /// Records that a job was spooled because the store did not accept it in time.
     pub fn note_spooled(&mut self, now: Instant, job: &str) {
         if let Some(pending) = self.jobs.get_mut(job) {
             pending.until = now + SPOOLED_TIME;
         }
     }
 
-    /// A job was not taken after all.
+    /// Removes a job that was not accepted.
     pub fn forget(&mut self, job: &str) {
         self.jobs.remove(job);
     }
 
-    /// Whether the job is among them.
+    /// Whether the job is pending.
     pub fn holds(&self, job: &str) -> bool {
         self.jobs.contains_key(job)
     }
 
-    /// Time passes. While the store is away, no job is handed over.
+    /// Removes jobs that other nodes report by now. No job expires while the store is
+    /// unreachable.
     pub fn tick(&mut self, now: Instant, store_away: bool) {
         if store_away {
             self.jobs.values_mut().for_each(|pending| pending.until = pending.until.max(now + HANDOVER_TIME));
@@ -84,12 +84,12 @@
         self.jobs.retain(|_, pending| pending.until > now);
     }
 
-    /// Tokens of a route.
+    /// Tokens of the pending jobs of a route.
     pub fn tokens(&self, route: RouteKey) -> u64 {
         self.jobs.values().filter(|pending| pending.route == route).map(|pending| pending.tokens).sum()
     }
 
-    /// Whether there are none.
+    /// Whether no job is pending.
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
