--- a/crates/core/src/event_stream.rs
+++ b/crates/core/src/event_stream.rs
@@ -1,28 +1,28 @@
-//! Framing of event streams, so that an answer can go on at another server.
+//! Framing of event streams, so that another server can continue an answer.
 //!
-//! Only whole events leave the framer: when a server breaks off partway
-//! through one, the part is dropped and the next server sends it again after
-//! the last whole event's identifier.
+//! The framer returns complete events only. If a server fails in the middle of an
+//! event, the partial event is dropped and the next server continues after the
+//! identifier of the last complete event.
 
 use bytes::{Bytes, BytesMut};
 
-/// Most bytes of one event that are held back.
+/// Maximum number of buffered bytes.
 const EVENT_LIMIT: usize = 1 << 20;
 
-/// A whole event, with its identifier if it has one.
+/// A complete event.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FramedEvent {
-    /// Its bytes, the empty line at its end included.
+    /// Bytes of the event, including the empty line at its end.
     pub bytes: Bytes,
-    /// Its number, from the `id` field.
+    /// Number from the `id` field, if any.
     pub id: Option<u64>,
 }
 
-/// An event is longer than any that is taken.
+/// An event exceeds the size limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EventTooLong;
 
-/// Cuts a byte stream into whole events.
+/// Splits a byte stream into complete events.
 #[derive(Debug, Default)]
 pub struct EventFramer {
     pending: BytesMut,
@@ -30,10 +30,10 @@
 }
 
 impl EventFramer {
-    /// Takes bytes and gives back the events that are whole now.
+    /// Adds bytes and returns the events that are complete now.
     ///
     /// # Errors
-    /// [`EventTooLong`] if an event does not end in time.
+    /// [`EventTooLong`] if a partial event exceeds the size limit.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Vec<FramedEvent>, EventTooLong> {
         self.pending.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -49,18 +49,18 @@
         Ok(events)
     }
 
-    /// Whether part of an event is held back.
+    /// Whether a partial event is buffered.
     pub fn holds_part(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Drops the part of an event that is held back.
+    /// Drops the buffered partial event.
     pub fn reset(&mut self) {
         self.pending.clear();
         self.searched = 0;
     }
 
-    /// End of the first whole event: behind the line feed of an empty line.
+    /// Finds the end of the first complete event, after the line feed of its empty line.
     fn find_end(&mut self) -> Option<usize> {
         let start = self.searched.saturating_sub(3);
         let bytes = &self.pending[start..];
@@ -81,12 +81,12 @@
     }
 }
 
-/// Value of the last field of that name in an event.
+/// Value of the last field with this name in an event.
 fn field<'a>(event: &'a [u8], name: &[u8]) -> Option<&'a [u8]> {
     lines(event).filter_map(|line| value_of(line, name)).next_back()
 }
 
-/// The data of an event: its `data` lines, joined by line feeds.
+/// Data of an event: the values of its `data` lines, joined by line feeds.
 pub fn event_data(event: &[u8]) -> Vec<u8> {
     let parts: Vec<&[u8]> = lines(event).filter_map(|line| value_of(line, b"data")).collect();
     parts.join(&b'\n')
--- a/crates/core/src/listing_pause.rs
+++ b/crates/core/src/listing_pause.rs
@@ -1,28 +1,28 @@
-//! For how long results of a batch job are collected before they are listed together.
+//! Time for which results of a batch job are collected before they are listed together.
 //!
-//! Each list is a call to the record store, so results that end close to each other are
-//! listed together. But what ends a moment before the job is due has to be listed before
-//! callers look for the last time: under more batch work than room, many items do.
+//! Each list is a call to the record store, so results are listed in groups. Results that
+//! complete shortly before the due time must be listed before callers poll for the last
+//! time, so the pause shrinks near the due time.
 
 use std::time::Duration;
 
-/// Results that end within this part of the time that the job has left are listed
-/// together.
+/// Divisor of the remaining time that gives the usual pause.
 const PART_OF_LEFT: u32 = 6;
-/// The least time for which results are collected far from the due time.
+/// Minimum pause far from the due time.
 pub const SHORTEST: Duration = Duration::from_millis(600);
-/// What is not listed is lost with its worker, and would have to run again.
+/// Maximum pause. Results that are not listed are lost if their worker fails.
 const LONGEST: Duration = Duration::from_millis(2500);
-/// So long before the due time all that ended has to be on its way: a write to the record
-/// store, and the pause between two looks of a caller.
+/// Time before the due time at which results must be sent: a write to the record store
+/// and one poll interval of a caller.
 const AHEAD_OF_DUE: Duration = Duration::from_millis(800);
-/// Time for which results are collected close to the due time.
+/// Pause near the due time.
 pub const CLOSE_TO_DUE: Duration = Duration::from_millis(100);
-/// So long after the due time results are still listed soon: callers look about twice a
-/// second, and once more shortly after it.
+/// Time after the due time during which the pause stays short: callers poll about twice
+/// a second, and once shortly after the due time.
 const LAST_LOOK: Duration = Duration::from_millis(700);
 
-/// Time for which results are collected at a job of this age.
+/// Pause before results of a job of this age are listed; `due` is the age at which the
+/// job is due.
 pub fn listing_pause(age: Duration, due: Duration) -> Duration {
     if age > due + LAST_LOOK {
         return SHORTEST;
--- a/crates/core/src/run_times.rs
+++ b/crates/core/src/run_times.rs
@@ -1,8 +1,8 @@
-//! How long items of batch jobs take, as measured from whole items.
+//! Run times of batch items, estimated from completed items.
 
 use std::time::Duration;
 
-/// Weight of a new measurement in a running mean.
+/// Weight of a new sample in a running mean.
 const MEAN_WEIGHT: f64 = 0.1;
 
 #[derive(Clone, Copy, Debug)]
@@ -11,18 +11,18 @@
     seconds_per_event: f64,
 }
 
-/// What was measured of the items of one route; nothing at first.
+/// Run times of the items of one route; empty before the first completed item.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RunTimes {
     runs: Option<Means>,
-    /// Seconds for each event from the first run of an item on, with all waits between
-    /// its runs.
+    /// Seconds per event since the first start of an item, including waits between its
+    /// runs.
     with_waits: Option<f64>,
 }
 
 impl RunTimes {
-    /// An item is whole: it has `events`, of which its last run yielded
-    /// `of_run` in `time`.
+    /// Records a completed item with `events` events, `of_run` of which its last run
+    /// produced in `time`.
     pub fn note_whole(&mut self, events: u64, of_run: u64, time: Duration) {
         if of_run == 0 {
             return;
@@ -34,8 +34,8 @@
         }));
     }
 
-    /// An item is whole: all its runs yielded `events` in `time`, from the start of the
-    /// first one on.
+    /// Records a completed item whose runs produced `events` events within `time` of its
+    /// first start.
     pub fn note_elapsed(&mut self, events: u64, time: Duration) {
         if events == 0 {
             return;
@@ -44,15 +44,15 @@
         self.with_waits = Some(self.with_waits.map_or(measured, |old| mean(old, measured)));
     }
 
-    /// Time that an item with so many events is expected to run on without a pause;
-    /// none is known before the first measurement.
+    /// Expected remaining time of an item that has `events` events and runs without
+    /// interruption; zero before the first completed item.
     pub fn remaining(&self, events: u64) -> Duration {
         let Some(means) = self.runs else { return Duration::ZERO };
         means.left_of(events).mul_f64(means.seconds_per_event)
     }
 
-    /// Time after which an item with so many events is expected to be whole if it starts
-    /// now: it gives way and starts again as often as others did.
+    /// Expected time to completion of an item that has `events` events and starts now,
+    /// if it is preempted as often as other items; zero before the first completed item.
     pub fn remaining_with_waits(&self, events: u64) -> Duration {
         let Some(means) = self.runs else { return Duration::ZERO };
         let pace = self.with_waits.unwrap_or_default().max(means.seconds_per_event);
@@ -61,7 +61,7 @@
 }
 
 impl Means {
-    /// One second for each event that is left.
+    /// Expected number of remaining events, as seconds.
     fn left_of(&self, events: u64) -> Duration {
         Duration::from_secs_f64((self.events - events as f64).max(0.0))
     }
