--- a/crates/core/src/event_stream.rs
+++ b/crates/core/src/event_stream.rs
@@ -50,7 +50,7 @@
     }
 
     /// Whether a partial event is buffered.
-    pub fn holds_part(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 
--- a/crates/core/src/item_progress.rs
+++ b/crates/core/src/item_progress.rs
@@ -23,7 +23,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
     /// Its output is whole.
-    Whole,
+    Completed,
     /// The server failed at it.
     Failed,
     /// The server says that it can never be done.
@@ -31,7 +31,7 @@
     /// It was broken off, or did not start.
     Interrupted,
     /// It gave way to an urgent request: nothing is wrong with it.
-    GaveWay,
+    Preempted,
 }
 
 /// Where an item stands.
@@ -195,7 +195,7 @@
     /// A run at a server ended.
     pub fn end_run(&mut self, now: Instant, server: &Arc<str>, end: RunEnd, rules: &GiveUpRules) {
         match end {
-            RunEnd::Whole => self.state = ItemState::Completed,
+            RunEnd::Completed => self.state = ItemState::Completed,
             RunEnd::Impossible => self.state = ItemState::GivenUp,
             RunEnd::Failed => {
                 self.failures += 1;
@@ -204,7 +204,7 @@
                 }
                 self.wait_or_give_up(now, self.has_failed_for_good(rules), rules, self.pause());
             }
-            RunEnd::GaveWay => self.wait_or_give_up(now, false, rules, Duration::ZERO),
+            RunEnd::Preempted => self.wait_or_give_up(now, false, rules, Duration::ZERO),
             RunEnd::Interrupted => {
                 self.interruptions += 1;
                 self.wait_or_give_up(now, false, rules, self.pause());
--- a/crates/core/src/live_workers.rs
+++ b/crates/core/src/live_workers.rs
@@ -71,7 +71,7 @@
     }
 
     /// Time at which workers without a registration are removed, if there are any.
-    pub fn next_end(&self) -> Option<Instant> {
+    pub fn grace_end(&self) -> Option<Instant> {
         self.lapse.end().filter(|_| !self.vanished.is_empty())
     }
 
--- a/crates/core/src/run_times.rs
+++ b/crates/core/src/run_times.rs
@@ -21,13 +21,13 @@
 }
 
 impl RunTimes {
-    /// Records a completed item with `events` events, `of_run` of which its last run
+    /// Records a completed item with `events` events, `last_run_events` of which its last run
     /// produced in `time`.
-    pub fn note_whole(&mut self, events: u64, of_run: u64, time: Duration) {
-        if of_run == 0 {
+    pub fn note_completed(&mut self, events: u64, last_run_events: u64, time: Duration) {
+        if last_run_events == 0 {
             return;
         }
-        let measured = Means { events: events as f64, seconds_per_event: time.as_secs_f64() / of_run as f64 };
+        let measured = Means { events: events as f64, seconds_per_event: time.as_secs_f64() / last_run_events as f64 };
         self.runs = Some(self.runs.map_or(measured, |old| Means {
             events: mean(old.events, measured.events),
             seconds_per_event: mean(old.seconds_per_event, measured.seconds_per_event),
--- a/crates/core/src/scheduler/mod.rs
+++ b/crates/core/src/scheduler/mod.rs
@@ -177,7 +177,7 @@
 
     /// Number of further batch items of a service that could start now or soon,
     /// not counting those that already wait here.
-    pub fn batch_room(&self, now: Instant, service: &str) -> u32 {
+    pub fn batch_capacity(&self, now: Instant, service: &str) -> u32 {
         let target: u32 = self
             .servers
             .values()
@@ -189,7 +189,7 @@
     }
 
     /// Slots of a service without online work, and its waiting online requests.
-    pub fn online_room(&self, now: Instant, service: &str) -> (u32, u32) {
+    pub fn online_load(&self, now: Instant, service: &str) -> (u32, u32) {
         let (_, free) = self.open_slots(now, service);
         (free, self.online.get(service).map_or(0, RowQueues::waiting))
     }
--- a/crates/core/tests/event_stream.rs
+++ b/crates/core/tests/event_stream.rs
@@ -7,7 +7,7 @@
 fn an_event_leaves_only_when_it_is_whole() {
     let mut framer = EventFramer::default();
     assert!(framer.push(b"id: 1\ndata: a").unwrap().is_empty());
-    assert!(framer.holds_part());
+    assert!(framer.has_partial_event());
     let events = framer.push(b"\n\nid: 2\n").unwrap();
     assert_eq!(events.len(), 1);
     assert_eq!((events[0].id, &*events[0].bytes), (Some(1), &b"id: 1\ndata: a\n\n"[..]));
@@ -15,7 +15,7 @@
     let events = framer.push(b"id: 2\r\ndata: b\r\n\r\n").unwrap();
     assert_eq!(events[0].id, Some(2));
     assert_eq!(event_data(&events[0].bytes), b"b");
-    assert!(!framer.holds_part());
+    assert!(!framer.has_partial_event());
 }
 
 #[test]
--- a/crates/core/tests/item_progress.rs
+++ b/crates/core/tests/item_progress.rs
@@ -106,7 +106,7 @@
     for _ in 0..30 {
         assert!(item.may_start(at(1)));
         item.start();
-        item.end_run(at(1), &server(1), RunEnd::GaveWay, &RULES);
+        item.end_run(at(1), &server(1), RunEnd::Preempted, &RULES);
     }
     assert_eq!(item.failures(), 0);
     item.start();
--- a/crates/core/tests/item_urgency.rs
+++ b/crates/core/tests/item_urgency.rs
@@ -15,7 +15,7 @@
 /// Items run for 4 s, and are whole 6 s after their first start.
 fn measured() -> RunTimes {
     let mut times = RunTimes::default();
-    times.note_whole(EVENTS, EVENTS, Duration::from_secs(4));
+    times.note_completed(EVENTS, EVENTS, Duration::from_secs(4));
     times.note_elapsed(EVENTS, Duration::from_secs(6));
     times
 }
@@ -151,7 +151,7 @@
             }
             item.standing = Standing::Whole { at: self.now };
             let of_run = item.events().saturating_sub(events_before);
-            self.times.note_whole(item.events(), of_run, Duration::from_secs_f64(self.now - since));
+            self.times.note_completed(item.events(), of_run, Duration::from_secs_f64(self.now - since));
             let elapsed = self.now - item.first_start.unwrap_or(since);
             self.times.note_elapsed(item.events(), Duration::from_secs_f64(elapsed));
         }
--- a/crates/core/tests/live_workers.rs
+++ b/crates/core/tests/live_workers.rs
@@ -40,10 +40,10 @@
     assert!(!workers.note_all(at(120.0), &BTreeSet::from(["a"])));
     assert_eq!(names(&workers), ["a", "b", "c"]);
     assert!(!workers.note_registered("b"), "it never was away");
-    assert_eq!(workers.next_end(), Some(at(119.9) + RETURN_GRACE));
+    assert_eq!(workers.grace_end(), Some(at(119.9) + RETURN_GRACE));
     assert!(!workers.tick(at(121.0)));
     assert!(workers.tick(at(122.0)));
     assert_eq!(names(&workers), ["a", "b"]);
-    assert_eq!(workers.next_end(), None);
+    assert_eq!(workers.grace_end(), None);
     assert!(workers.note_registered("c"), "it may come back later");
 }
--- a/crates/core/tests/run_times.rs
+++ b/crates/core/tests/run_times.rs
@@ -11,7 +11,7 @@
 #[test]
 fn an_item_that_was_begun_takes_less() {
     let mut times = RunTimes::default();
-    times.note_whole(200, 200, Duration::from_secs(4));
+    times.note_completed(200, 200, Duration::from_secs(4));
     assert_eq!(times.remaining(0), Duration::from_secs(4));
     assert_eq!(times.remaining(150), Duration::from_secs(1));
     assert_eq!(times.remaining(500), Duration::ZERO);
@@ -21,7 +21,7 @@
 #[test]
 fn the_pace_is_that_of_the_last_run() {
     let mut times = RunTimes::default();
-    times.note_whole(200, 50, Duration::from_secs(1));
-    times.note_whole(200, 0, Duration::from_secs(9));
+    times.note_completed(200, 50, Duration::from_secs(1));
+    times.note_completed(200, 0, Duration::from_secs(9));
     assert_eq!(times.remaining(0), Duration::from_secs(4));
 }
--- a/crates/jobs/src/item_run.rs
+++ b/crates/jobs/src/item_run.rs
@@ -84,7 +84,7 @@
         return (RunEnd::Interrupted, end.reason);
     }
     if !start.is_allowed() {
-        return (RunEnd::GaveWay, "may_be_ended");
+        return (RunEnd::Preempted, "may_be_ended");
     }
     start.note_sent(&exchange, progress);
     let last_event = progress.last_event();
@@ -124,7 +124,7 @@
             return (RunEnd::Interrupted, "no_event");
         };
         let data = match frame {
-            None if framer.holds_part() => {
+            None if framer.has_partial_event() => {
                 exchange.note_connection_lost(outgoing);
                 exchange.fail(Ending::Broken);
                 return (RunEnd::Interrupted, "ended_within_an_event");
@@ -132,7 +132,7 @@
             None => {
                 exchange.note_served(outgoing);
                 exchange.finish();
-                return (RunEnd::Whole, "whole");
+                return (RunEnd::Completed, "whole");
             }
             Some(Err(_)) => {
                 exchange.note_connection_lost(outgoing);
--- a/crates/jobs/src/item_starts.rs
+++ b/crates/jobs/src/item_starts.rs
@@ -285,7 +285,7 @@
     let server = exchange.server().clone();
     let (end, reason) = tokio::select! {
         ended = run_item(&start, exchange, &outgoing, left, &mut progress) => ended,
-        () = give_way.notified() => (RunEnd::GaveWay, "gave_way"),
+        () = give_way.notified() => (RunEnd::Preempted, "gave_way"),
     };
     (position, progress, end, reason, server)
 }
--- a/crates/jobs/src/job_run.rs
+++ b/crates/jobs/src/job_run.rs
@@ -335,9 +335,9 @@
         if let Some(run) = self.running.remove(&position) {
             self.context.runs.remove(&run.server, run.number);
             self.context.note_runs(0, 1);
-            if let Some(route) = route.filter(|_| end == RunEnd::Whole) {
-                let of_run = progress.events().saturating_sub(run.events_before);
-                self.context.note_whole(&route, progress.events(), of_run, now.since(run.started_at));
+            if let Some(route) = route.filter(|_| end == RunEnd::Completed) {
+                let last_run_events = progress.events().saturating_sub(run.events_before);
+                self.context.note_completed(&route, progress.events(), last_run_events, now.since(run.started_at));
                 if let Some(begun) = progress.begun() {
                     let events = progress.events().saturating_sub(begun.events);
                     self.context.note_elapsed(&route, events, now.since(begun.at));
@@ -356,7 +356,7 @@
         let item = &self.items[position].id;
         let failures = progress.failures();
         self.failures_changed |= end == RunEnd::Failed && matches!(progress.state(), ItemState::Waiting(_));
-        if end != RunEnd::Whole {
+        if end != RunEnd::Completed {
             let events_kept = progress.events();
             let event = Event::ItemAttemptFailed { job: &self.job, item, server, reason, failures, events_kept };
             emit(&self.job, &event);
--- a/crates/jobs/src/worker.rs
+++ b/crates/jobs/src/worker.rs
@@ -196,7 +196,7 @@
     /// Completes when a worker is to be given up that did not return after an
     /// outage of the store; never, if there is none.
     async fn worker_lapses(&self) {
-        sleep_or_never(self.workers.next_end().map(|end| end.since(self.now()))).await;
+        sleep_or_never(self.workers.grace_end().map(|end| end.since(self.now()))).await;
     }
 
     fn tick(&mut self) {
--- a/crates/jobs/src/worker_context.rs
+++ b/crates/jobs/src/worker_context.rs
@@ -147,8 +147,8 @@
     }
 
     /// An item of a route is whole.
-    pub(crate) fn note_whole(&self, route: &Route, events: u64, of_run: u64, time: Duration) {
-        self.times().entry(route.name.clone()).or_default().note_whole(events, of_run, time);
+    pub(crate) fn note_completed(&self, route: &Route, events: u64, last_run_events: u64, time: Duration) {
+        self.times().entry(route.name.clone()).or_default().note_completed(events, last_run_events, time);
     }
 
     /// All runs of an item, which is whole now, yielded `events` in `time`.
--- a/crates/node/src/batch/mod.rs
+++ b/crates/node/src/batch/mod.rs
@@ -202,7 +202,7 @@
             .iter()
             .filter(|service| empty.get(service.as_ref()).is_none_or(|empty| Instant::now() >= empty.ask_again));
         asked
-            .map(|service| ServiceRoom { service: service.to_string(), room: self.owner.batch_room(service) })
+            .map(|service| ServiceRoom { service: service.to_string(), room: self.owner.batch_capacity(service) })
             .filter(|room| room.room > 0)
             .collect()
     }
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -83,7 +83,7 @@
         let me = NodeId(self.members.view().me.node);
         let service = request.row.service.as_str();
         let has_service = self.online.owner.services().iter().any(|name| **name == *service);
-        let (free, queued) = self.online.owner.online_room(service);
+        let (free, queued) = self.online.owner.online_load(service);
         let own = (has_service && !tried.contains(&me)).then_some(OwnerRoom { node: me, free, queued });
         let others = self.others(service, tried);
         if self.policy == RoutingPolicy::RoundRobin {
@@ -180,7 +180,7 @@
             .services()
             .iter()
             .map(|service| {
-                let (free, queued) = owner.online_room(service);
+                let (free, queued) = owner.online_load(service);
                 ServiceLoad { service: service_number(service), free, queued }
             })
             .collect();
--- a/crates/node/src/owner.rs
+++ b/crates/node/src/owner.rs
@@ -114,12 +114,12 @@
         self.lock().scheduler.starts_of(server)
     }
 
-    pub(crate) fn online_room(&self, service: &str) -> (u32, u32) {
-        self.lock().scheduler.online_room(self.clock.now(), service)
+    pub(crate) fn online_load(&self, service: &str) -> (u32, u32) {
+        self.lock().scheduler.online_load(self.clock.now(), service)
     }
 
-    pub(crate) fn batch_room(&self, service: &str) -> u32 {
-        self.lock().scheduler.batch_room(self.clock.now(), service)
+    pub(crate) fn batch_capacity(&self, service: &str) -> u32 {
+        self.lock().scheduler.batch_capacity(self.clock.now(), service)
     }
 
     pub(crate) fn services(&self) -> Vec<Arc<str>> {
--- a/crates/proxy/src/resumable.rs
+++ b/crates/proxy/src/resumable.rs
@@ -105,7 +105,7 @@
             return Step::Broken(reason, Ending::Silent);
         };
         let data = match frame {
-            None if self.framer.holds_part() => return Step::Broken("ended_within_an_event", Ending::Broken),
+            None if self.framer.has_partial_event() => return Step::Broken("ended_within_an_event", Ending::Broken),
             None => return Step::End,
             Some(Err(_)) => return Step::Broken("stream_broke", Ending::Broken),
             Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
