--- a/crates/core/src/event_stream.rs
+++ b/crates/core/src/event_stream.rs
@@ -26,7 +26,7 @@
 #[derive(Debug, Default)]
 pub struct EventFramer {
     pending: BytesMut,
-    searched: usize,
+    searched_bytes: usize,
 }
 
 impl EventFramer {
@@ -39,7 +39,7 @@
         let mut events = Vec::new();
         while let Some(end) = self.find_end() {
             let bytes = self.pending.split_to(end).freeze();
-            self.searched = 0;
+            self.searched_bytes = 0;
             let id = field(&bytes, b"id").and_then(|value| std::str::from_utf8(value).ok()?.parse().ok());
             events.push(FramedEvent { bytes, id });
         }
@@ -57,12 +57,12 @@
     /// Drops the buffered partial event.
     pub fn reset(&mut self) {
         self.pending.clear();
-        self.searched = 0;
+        self.searched_bytes = 0;
     }
 
     /// Finds the end of the first complete event, after the line feed of its empty line.
     fn find_end(&mut self) -> Option<usize> {
-        let start = self.searched.saturating_sub(3);
+        let start = self.searched_bytes.saturating_sub(3);
         let bytes = &self.pending[start..];
         for (position, byte) in bytes.iter().enumerate() {
             if *byte != b'\n' {
@@ -76,19 +76,19 @@
                 return Some(start + position + 3);
             }
         }
-        self.searched = self.pending.len();
+        self.searched_bytes = self.pending.len();
         None
     }
 }
 
 /// Value of the last field with this name in an event.
 fn field<'a>(event: &'a [u8], name: &[u8]) -> Option<&'a [u8]> {
-    lines(event).filter_map(|line| value_of(line, name)).next_back()
+    lines(event).filter_map(|line| field_value(line, name)).next_back()
 }
 
 /// Data of an event: the values of its `data` lines, joined by line feeds.
 pub fn event_data(event: &[u8]) -> Vec<u8> {
-    let parts: Vec<&[u8]> = lines(event).filter_map(|line| value_of(line, b"data")).collect();
+    let parts: Vec<&[u8]> = lines(event).filter_map(|line| field_value(line, b"data")).collect();
     parts.join(&b'\n')
 }
 
@@ -96,7 +96,7 @@
     event.split(|byte| *byte == b'\n').map(|line| line.strip_suffix(b"\r").unwrap_or(line))
 }
 
-fn value_of<'a>(line: &'a [u8], name: &[u8]) -> Option<&'a [u8]> {
+fn field_value<'a>(line: &'a [u8], name: &[u8]) -> Option<&'a [u8]> {
     let value = line.strip_prefix(name)?.strip_prefix(b":")?;
     Some(value.strip_prefix(b" ").unwrap_or(value))
 }
--- a/crates/core/src/lapse_grace.rs
+++ b/crates/core/src/lapse_grace.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug)]
 enum StoreState {
     /// The store does not answer, or has not answered yet.
-    Away,
+    Unreachable,
     /// The store has answered since this time.
     Answering(Instant),
 }
@@ -27,21 +27,21 @@
     /// Creates the state for processes that register again within `grace` after the
     /// store returns.
     pub fn new(grace: Duration) -> Self {
-        Self { grace, store: StoreState::Away }
+        Self { grace, store: StoreState::Unreachable }
     }
 
     /// Records for how long the store has answered; `None` if it does not answer.
     pub fn note_store(&mut self, now: Instant, answering_for: Option<Duration>) {
         self.store = match answering_for {
             Some(time) => StoreState::Answering(now - time),
-            None => StoreState::Away,
+            None => StoreState::Unreachable,
         };
     }
 
     /// Whether a missing registration may belong to a live process.
     pub fn may_have_lapsed(&self, now: Instant) -> bool {
         match self.store {
-            StoreState::Away => true,
+            StoreState::Unreachable => true,
             StoreState::Answering(_) => self.end().is_some_and(|end| now < end),
         }
     }
@@ -49,7 +49,7 @@
     /// End of the grace period; `None` while the store is unreachable.
     pub fn end(&self) -> Option<Instant> {
         match self.store {
-            StoreState::Away => None,
+            StoreState::Unreachable => None,
             StoreState::Answering(since) => Some(since + self.grace),
         }
     }
--- a/crates/core/src/listing_pause.rs
+++ b/crates/core/src/listing_pause.rs
@@ -7,27 +7,27 @@
 use std::time::Duration;
 
 /// Divisor of the remaining time that gives the usual pause.
-const PART_OF_LEFT: u32 = 6;
+const REMAINING_DIVISOR: u32 = 6;
 /// Minimum pause far from the due time.
 pub const SHORTEST: Duration = Duration::from_millis(600);
 /// Maximum pause. Results that are not listed are lost if their worker fails.
-const LONGEST: Duration = Duration::from_millis(2500);
+const MAX_PAUSE: Duration = Duration::from_millis(2500);
 /// Time before the due time at which results must be sent: a write to the record store
 /// and one poll interval of a caller.
-const AHEAD_OF_DUE: Duration = Duration::from_millis(800);
+const LISTING_LEAD_TIME: Duration = Duration::from_millis(800);
 /// Pause near the due time.
 pub const CLOSE_TO_DUE: Duration = Duration::from_millis(100);
 /// Time after the due time during which the pause stays short: callers poll about twice
 /// a second, and once shortly after the due time.
-const LAST_LOOK: Duration = Duration::from_millis(700);
+const FINAL_POLL_TIME: Duration = Duration::from_millis(700);
 
 /// Pause before results of a job of this age are listed; `due` is the age at which the
 /// job is due.
 pub fn listing_pause(age: Duration, due: Duration) -> Duration {
-    if age > due + LAST_LOOK {
+    if age > due + FINAL_POLL_TIME {
         return SHORTEST;
     }
-    let left = due.saturating_sub(age);
-    let usual = (left / PART_OF_LEFT).clamp(SHORTEST, LONGEST);
-    usual.min(left.saturating_sub(AHEAD_OF_DUE).max(CLOSE_TO_DUE))
+    let remaining = due.saturating_sub(age);
+    let usual = (remaining / REMAINING_DIVISOR).clamp(SHORTEST, MAX_PAUSE);
+    usual.min(remaining.saturating_sub(LISTING_LEAD_TIME).max(CLOSE_TO_DUE))
 }
--- a/crates/core/src/live_workers.rs
+++ b/crates/core/src/live_workers.rs
@@ -21,13 +21,13 @@
     names: BTreeSet<String>,
     /// Workers whose registration disappeared during an outage or its grace period.
     vanished: BTreeSet<String>,
-    lapse: LapseGrace,
+    lapse_grace: LapseGrace,
 }
 
 impl Default for LiveWorkers {
     /// No workers.
     fn default() -> Self {
-        Self { names: BTreeSet::new(), vanished: BTreeSet::new(), lapse: LapseGrace::new(RETURN_GRACE) }
+        Self { names: BTreeSet::new(), vanished: BTreeSet::new(), lapse_grace: LapseGrace::new(RETURN_GRACE) }
     }
 }
 
@@ -39,7 +39,7 @@
 
     /// Records for how long the store has answered; `None` if it does not answer.
     pub fn note_store(&mut self, now: Instant, answering_for: Option<Duration>) {
-        self.lapse.note_store(now, answering_for);
+        self.lapse_grace.note_store(now, answering_for);
     }
 
     /// Records a registered worker; returns whether it is new.
@@ -54,7 +54,7 @@
         if !self.names.contains(worker) {
             return false;
         }
-        if self.lapse.may_have_lapsed(now) {
+        if self.lapse_grace.may_have_lapsed(now) {
             self.vanished.insert(worker.to_owned());
             return false;
         }
@@ -72,12 +72,12 @@
 
     /// Time at which workers without a registration are removed, if there are any.
     pub fn grace_end(&self) -> Option<Instant> {
-        self.lapse.end().filter(|_| !self.vanished.is_empty())
+        self.lapse_grace.end().filter(|_| !self.vanished.is_empty())
     }
 
     /// Removes vanished workers after the grace period; returns whether any were removed.
     pub fn tick(&mut self, now: Instant) -> bool {
-        if self.lapse.may_have_lapsed(now) {
+        if self.lapse_grace.may_have_lapsed(now) {
             return false;
         }
         let vanished = std::mem::take(&mut self.vanished);
--- a/crates/core/src/queue_limit.rs
+++ b/crates/core/src/queue_limit.rs
@@ -33,35 +33,35 @@
 impl QueueLimit {
     /// Whether `tokens` more may wait in addition to `queued`.
     pub fn fits(&self, queued: u64, tokens: u64) -> bool {
-        let most = self.tokens as f64 * (1.0 + self.excess * USED_EXCESS);
-        queued.saturating_add(tokens) as f64 <= most
+        let max_tokens = self.tokens as f64 * (1.0 + self.excess * USED_EXCESS);
+        queued.saturating_add(tokens) as f64 <= max_tokens
     }
 }
 
 #[derive(Debug)]
-struct Pending {
+struct PendingJob {
     route: RouteKey,
     tokens: u64,
-    until: Instant,
+    counted_until: Instant,
 }
 
 /// Recently accepted jobs of a node that other nodes may not report yet.
 #[derive(Debug, Default)]
 pub struct PendingJobs {
-    jobs: HashMap<String, Pending>,
+    jobs: HashMap<String, PendingJob>,
 }
 
 impl PendingJobs {
     /// Records that a job is being accepted; a repeated job counts once.
     pub fn note(&mut self, now: Instant, route: RouteKey, job: &str, tokens: u64) {
-        let pending = Pending { route, tokens, until: now + HANDOVER_TIME };
+        let pending = PendingJob { route, tokens, counted_until: now + HANDOVER_TIME };
         self.jobs.insert(job.to_owned(), pending);
     }
 
     /// Records that a job was spooled because the store did not accept it in time.
     pub fn note_spooled(&mut self, now: Instant, job: &str) {
         if let Some(pending) = self.jobs.get_mut(job) {
-            pending.until = now + SPOOLED_TIME;
+            pending.counted_until = now + SPOOLED_TIME;
         }
     }
 
@@ -77,11 +77,13 @@
 
     /// Removes jobs that other nodes report by now. No job expires while the store is
     /// unreachable.
-    pub fn tick(&mut self, now: Instant, store_away: bool) {
-        if store_away {
-            self.jobs.values_mut().for_each(|pending| pending.until = pending.until.max(now + HANDOVER_TIME));
+    pub fn tick(&mut self, now: Instant, store_unreachable: bool) {
+        if store_unreachable {
+            self.jobs
+                .values_mut()
+                .for_each(|pending| pending.counted_until = pending.counted_until.max(now + HANDOVER_TIME));
         }
-        self.jobs.retain(|_, pending| pending.until > now);
+        self.jobs.retain(|_, pending| pending.counted_until > now);
     }
 
     /// Tokens of the pending jobs of a route.
--- a/crates/core/src/run_times.rs
+++ b/crates/core/src/run_times.rs
@@ -17,7 +17,7 @@
     runs: Option<Means>,
     /// Seconds per event since the first start of an item, including waits between its
     /// runs.
-    with_waits: Option<f64>,
+    seconds_per_event_with_waits: Option<f64>,
 }
 
 impl RunTimes {
@@ -27,10 +27,10 @@
         if last_run_events == 0 {
             return;
         }
-        let measured = Means { events: events as f64, seconds_per_event: time.as_secs_f64() / last_run_events as f64 };
-        self.runs = Some(self.runs.map_or(measured, |old| Means {
-            events: mean(old.events, measured.events),
-            seconds_per_event: mean(old.seconds_per_event, measured.seconds_per_event),
+        let sample = Means { events: events as f64, seconds_per_event: time.as_secs_f64() / last_run_events as f64 };
+        self.runs = Some(self.runs.map_or(sample, |old| Means {
+            events: mean(old.events, sample.events),
+            seconds_per_event: mean(old.seconds_per_event, sample.seconds_per_event),
         }));
     }
 
@@ -40,29 +40,30 @@
         if events == 0 {
             return;
         }
-        let measured = time.as_secs_f64() / events as f64;
-        self.with_waits = Some(self.with_waits.map_or(measured, |old| mean(old, measured)));
+        let sample = time.as_secs_f64() / events as f64;
+        self.seconds_per_event_with_waits =
+            Some(self.seconds_per_event_with_waits.map_or(sample, |old| mean(old, sample)));
     }
 
     /// Expected remaining time of an item that has `events` events and runs without
     /// interruption; zero before the first completed item.
     pub fn remaining(&self, events: u64) -> Duration {
         let Some(means) = self.runs else { return Duration::ZERO };
-        means.left_of(events).mul_f64(means.seconds_per_event)
+        means.remaining_events(events).mul_f64(means.seconds_per_event)
     }
 
     /// Expected time to completion of an item that has `events` events and starts now,
     /// if it is preempted as often as other items; zero before the first completed item.
     pub fn remaining_with_waits(&self, events: u64) -> Duration {
         let Some(means) = self.runs else { return Duration::ZERO };
-        let pace = self.with_waits.unwrap_or_default().max(means.seconds_per_event);
-        means.left_of(events).mul_f64(pace)
+        let seconds_per_event = self.seconds_per_event_with_waits.unwrap_or_default().max(means.seconds_per_event);
+        means.remaining_events(events).mul_f64(seconds_per_event)
     }
 }
 
 impl Means {
     /// Expected number of remaining events, as seconds.
-    fn left_of(&self, events: u64) -> Duration {
+    fn remaining_events(&self, events: u64) -> Duration {
         Duration::from_secs_f64((self.events - events as f64).max(0.0))
     }
 }
