--- a/crates/core/tests/item_progress.rs
+++ b/crates/core/tests/item_progress.rs
@@ -16,7 +16,7 @@
 const RULES: GiveUpRules = GiveUpRules { max_failures: 3, servers: 9, expires: Instant::from_micros(60_000_000) };
 
 #[test]
-fn an_item_that_always_fails_is_given_up_after_its_attempts() {
+fn an_item_that_always_fails_is_given_up_after_max_failures() {
     let mut item = ItemProgress::default();
     for failure in 1..=3 {
         assert!(item.may_start(at(failure * 10)));
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn an_item_that_can_not_be_done_is_given_up_at_once() {
+fn an_impossible_item_is_given_up_at_once() {
     let mut item = ItemProgress::default();
     item.start();
     item.end_run(at(1), &server(1), RunEnd::Impossible, &RULES);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn interruptions_are_no_failures() {
+fn interruptions_do_not_count_as_failures() {
     let mut item = ItemProgress::default();
     for time in 0..20 {
         item.start();
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn an_item_is_given_up_only_when_its_time_is_over() {
+fn a_waiting_item_is_given_up_only_when_it_expires() {
     let mut item = ItemProgress::default();
     item.tick(at(59), &RULES);
     assert!(matches!(item.state(), ItemState::Waiting(_)));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_pause_follows_each_broken_run() {
+fn a_backoff_follows_each_interrupted_run() {
     let mut item = ItemProgress::default();
     item.start();
     item.end_run(at(1), &server(1), RunEnd::Interrupted, &RULES);
@@ -78,7 +78,7 @@
 /// One server that fails at everything proves nothing of an item, until there
 /// is no other or it has failed very often.
 #[test]
-fn failures_of_one_server_count_less() {
+fn failures_at_one_server_count_less() {
     let mut item = ItemProgress::default();
     for failure in 1..=5 {
         item.start();
@@ -101,7 +101,7 @@
 
 /// Nothing is wrong with it: it may go on at once, however often that was.
 #[test]
-fn an_item_that_gave_way_may_start_again_at_once() {
+fn a_preempted_item_may_start_again_at_once() {
     let mut item = ItemProgress::default();
     for _ in 0..30 {
         assert!(item.may_start(at(1)));
--- a/crates/core/tests/run_times.rs
+++ b/crates/core/tests/run_times.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 
 #[test]
-fn nothing_is_expected_before_a_measurement() {
+fn the_estimate_is_zero_before_the_first_sample() {
     assert_eq!(RunTimes::default().remaining(0), Duration::ZERO);
 }
 
 #[test]
-fn an_item_that_was_begun_takes_less() {
+fn an_item_with_events_has_less_remaining_time() {
     let mut times = RunTimes::default();
     times.note_completed(200, 200, Duration::from_secs(4));
     assert_eq!(times.remaining(0), Duration::from_secs(4));
@@ -19,7 +19,7 @@
 
 /// The last of several runs yields only a part of the events.
 #[test]
-fn the_pace_is_that_of_the_last_run() {
+fn the_time_per_event_is_that_of_the_last_run() {
     let mut times = RunTimes::default();
     times.note_completed(200, 50, Duration::from_secs(1));
     times.note_completed(200, 0, Duration::from_secs(9));
