--- a/crates/core/src/item_progress.rs
+++ b/crates/core/src/item_progress.rs
@@ -1,11 +1,10 @@
-//! Progress of a batch job's items at the worker that runs them.
+//! Progress of batch items at the worker that runs them.
 //!
-//! An item may run several times; what it yields is listed once. It is given
-//! up only for a reason that its client can check: the server said that it
-//! can never be done, it failed as often as its route allows, or its time is
-//! over. Failures count against the item only where servers fail at it that
-//! are not the same: one server may fail at everything. A broken connection is no failure of the item: the next run goes on
-//! after the last whole event.
+//! An item may run several times, but each of its events is kept once. An item is
+//! given up only if a server rejects it as impossible, if it failed as often as its
+//! route allows, or if it expired. Failures at a single server don't suffice, since
+//! one server may fail at every item. A broken connection is not a failure of the
+//! item: the next run continues after the last complete event.
 
 use crate::retry::doubled_pause;
 use crate::time::Instant;
@@ -15,47 +14,46 @@
 /// Pause after the first failed run of an item; doubled at each further one.
 const FIRST_PAUSE: Duration = Duration::from_millis(100);
 const LONGEST_PAUSE: Duration = Duration::from_secs(3);
-/// After so many times the failures that its route allows, an item is given up
-/// wherever they were; its client counts three times as many as too many.
+/// An item is given up after this multiple of the failures that its route allows, even
+/// if all were at one server. Clients tolerate at most three times the allowed failures.
 const MOST_FAILURES_FACTOR: u32 = 2;
 
 /// How a run of an item ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// Its output is whole.
+    /// The output is complete.
     Completed,
-    /// The server failed at it.
+    /// The server failed to process the item.
     Failed,
-    /// The server says that it can never be done.
+    /// The server rejected the item as impossible to process.
     Impossible,
-    /// It was broken off, or did not start.
+    /// The connection broke, or the run did not start.
     Interrupted,
-    /// It gave way to an urgent request: nothing is wrong with it.
+    /// The run was preempted by an online request.
     Preempted,
 }
 
-/// Where an item stands.
+/// State of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ItemState {
-    /// It may start from this time on.
+    /// The item waits and may start from this time on.
     Waiting(Instant),
-    /// It runs.
+    /// A run is in progress.
     Running,
-    /// Its output is whole.
+    /// The output is complete.
     Completed,
-    /// It was given up.
+    /// The item was given up and does not run again.
     GivenUp,
 }
 
-/// The rules for giving up.
+/// Conditions for giving up an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GiveUpRules {
-    /// Failures after which an item is given up, if they are of as many
-    /// servers.
+    /// Number of failures, at as many different servers, after which an item is given up.
     pub max_failures: u32,
-    /// Servers that could run it.
+    /// Number of servers that could run the item.
     pub servers: usize,
-    /// Time from which on any item may be given up.
+    /// Time from which on an item that does not run is given up.
     pub expires: Instant,
 }
 
@@ -68,12 +66,12 @@
     pub events: u64,
 }
 
-/// One item.
+/// Progress of one item.
 #[derive(Clone, Debug)]
 pub struct ItemProgress {
     state: ItemState,
     failures: u32,
-    /// Servers that failed at it.
+    /// Servers where a run failed.
     failed_at: Vec<Arc<str>>,
     interruptions: u32,
     begun: Option<Begun>,
@@ -98,17 +96,17 @@
 }
 
 impl ItemProgress {
-    /// Where it stands.
+    /// Present state.
     pub fn state(&self) -> ItemState {
         self.state
     }
 
-    /// Failures so far.
+    /// Number of failed runs.
     pub fn failures(&self) -> u32 {
         self.failures
     }
 
-    /// It failed so often at these servers while another worker ran it.
+    /// Takes over the failures that another worker recorded.
     pub fn note_earlier_failures(&mut self, failures: u32, servers: &[Arc<str>]) {
         self.failures = self.failures.max(failures);
         for server in servers {
@@ -118,37 +116,37 @@
         }
     }
 
-    /// Servers that failed at it; the next run is better made elsewhere.
+    /// Servers where a run failed, to be avoided by the next run.
     pub fn failed_at(&self) -> &[Arc<str>] {
         &self.failed_at
     }
 
-    /// Events that are kept.
+    /// Number of kept events.
     pub fn events(&self) -> u64 {
         self.events
     }
 
-    /// Number of the last event that is kept; the next run goes on after it.
+    /// Identifier of the last kept event, after which the next run continues.
     pub fn last_event(&self) -> Option<u64> {
         self.last_event
     }
 
-    /// The data of all events, joined by line feeds.
+    /// Data of all kept events, joined by line feeds.
     pub fn text(&self) -> &[u8] {
         &self.text
     }
 
-    /// Whether it may start now.
+    /// Whether a run may start now.
     pub fn may_start(&self, now: Instant) -> bool {
         matches!(self.state, ItemState::Waiting(from) if from <= now)
     }
 
-    /// It is not to start before this time, unless it is given up meanwhile.
+    /// Makes the item wait until this time before its next run.
     pub fn wait_until(&mut self, from: Instant) {
         self.state = ItemState::Waiting(from);
     }
 
-    /// It waits for so much longer, if it waits.
+    /// Extends the wait of a waiting item.
     pub fn delay(&mut self, time: Duration) {
         if let ItemState::Waiting(from) = self.state {
             self.state = ItemState::Waiting(from + time);
@@ -165,18 +163,18 @@
         self.begun
     }
 
-    /// A run starts.
+    /// Marks the item as running.
     pub fn start(&mut self) {
         self.state = ItemState::Running;
     }
 
-    /// The item stands in the list of results already.
+    /// Records that the list of results contains the item.
     pub fn note_listed(&mut self, completed: bool) {
         self.state = if completed { ItemState::Completed } else { ItemState::GivenUp };
     }
 
-    /// An event came; `false` if it does not follow the last one and must not
-    /// be kept.
+    /// Keeps an event. Returns `false` and drops the event if its identifier does not
+    /// follow the last one.
     pub fn push_event(&mut self, id: Option<u64>, data: &[u8]) -> bool {
         if let (Some(id), Some(last)) = (id, self.last_event) {
             if id <= last {
@@ -192,7 +190,7 @@
         true
     }
 
-    /// A run at a server ended.
+    /// Records the end of a run at a server.
     pub fn end_run(&mut self, now: Instant, server: &Arc<str>, end: RunEnd, rules: &GiveUpRules) {
         match end {
             RunEnd::Completed => self.state = ItemState::Completed,
@@ -212,8 +210,7 @@
         }
     }
 
-    /// Time passes: an item that waits beyond its time is given up. Gives back whether it
-    /// was given up now.
+    /// Gives up a waiting item that has expired; returns whether it did.
     pub fn tick(&mut self, now: Instant, rules: &GiveUpRules) -> bool {
         let expires = matches!(self.state, ItemState::Waiting(_)) && now >= rules.expires;
         if expires {
--- a/crates/core/src/run_times.rs
+++ b/crates/core/src/run_times.rs
@@ -21,8 +21,8 @@
 }
 
 impl RunTimes {
-    /// Records a completed item with `events` events, `last_run_events` of which its last run
-    /// produced in `time`.
+    /// Records a completed item with `events` events; its last run produced
+    /// `last_run_events` of them in `time`.
     pub fn note_completed(&mut self, events: u64, last_run_events: u64, time: Duration) {
         if last_run_events == 0 {
             return;
--- a/crates/core/tests/item_progress.rs
+++ b/crates/core/tests/item_progress.rs
@@ -1,4 +1,4 @@
-//! Progress of batch items: what is kept, and when one is given up.
+//! Progress of batch items: kept events, waits between runs, and giving up.
 
 use latchwheel_core::item_progress::{GiveUpRules, ItemProgress, ItemState, RunEnd};
 use latchwheel_core::time::Instant;
@@ -63,7 +63,6 @@
     assert!(item.may_start(at(2)));
 }
 
-/// What a second run sends again is not kept twice.
 #[test]
 fn events_are_kept_once_and_in_order() {
     let mut item = ItemProgress::default();
@@ -75,8 +74,8 @@
     assert_eq!((item.text(), item.events(), item.last_event()), (&b"a\nb\n\nc"[..], 4, Some(4)));
 }
 
-/// One server that fails at everything proves nothing of an item, until there
-/// is no other or it has failed very often.
+/// A server that fails at every item must not make items fail for good, unless it is the
+/// only one or an item reaches twice the allowed failures there.
 #[test]
 fn failures_at_one_server_count_less() {
     let mut item = ItemProgress::default();
@@ -99,7 +98,7 @@
     assert_eq!(item.state(), ItemState::GivenUp);
 }
 
-/// Nothing is wrong with it: it may go on at once, however often that was.
+/// Preemptions must not lead to backoff.
 #[test]
 fn a_preempted_item_may_start_again_at_once() {
     let mut item = ItemProgress::default();
@@ -111,5 +110,5 @@
     assert_eq!(item.failures(), 0);
     item.start();
     item.end_run(at(1), &server(1), RunEnd::Interrupted, &RULES);
-    assert!(item.may_start(at(2)), "the pause after a broken run is the first one");
+    assert!(item.may_start(at(2)), "preemptions must not lengthen the backoff");
 }
--- a/crates/core/tests/run_times.rs
+++ b/crates/core/tests/run_times.rs
@@ -1,4 +1,4 @@
-//! How long items of batch jobs take, as measured.
+//! Estimates of the run times of batch items.
 
 use latchwheel_core::run_times::RunTimes;
 use std::time::Duration;
@@ -17,7 +17,6 @@
     assert_eq!(times.remaining(500), Duration::ZERO);
 }
 
-/// The last of several runs yields only a part of the events.
 #[test]
 fn the_time_per_event_is_that_of_the_last_run() {
     let mut times = RunTimes::default();
