--- a/crates/core/tests/event_stream.rs
+++ b/crates/core/tests/event_stream.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 
 #[test]
-fn an_event_leaves_only_when_it_is_whole() {
+fn only_complete_events_are_returned() {
     let mut framer = EventFramer::default();
     assert!(framer.push(b"id: 1\ndata: a").unwrap().is_empty());
     assert!(framer.has_partial_event());
@@ -35,7 +35,7 @@
 proptest! {
     /// However the bytes are cut, the events are the same and none is lost.
     #[test]
-    fn cuts_do_not_matter(
+    fn events_do_not_depend_on_chunk_boundaries(
         texts in prop::collection::vec("[a-z \r]{0,12}", 1..8),
         cuts in prop::collection::vec(1_usize..9, 1..40),
     ) {
@@ -58,7 +58,7 @@
 
     /// Bytes that are no events never make it fail or lose count.
     #[test]
-    fn any_bytes_are_taken(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_are_accepted(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut framer = EventFramer::default();
         let events = framer.push(&bytes).unwrap();
         let taken: usize = events.iter().map(|event| event.bytes.len()).sum();
--- a/crates/core/tests/job_schedules.rs
+++ b/crates/core/tests/job_schedules.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn jobs_end_exactly_once_under_cuts() {
+fn jobs_end_exactly_once_under_network_partitions() {
     let settings = three_replicas(&[FaultKind::CutOneWay, FaultKind::CutBothWays]);
     for_each_seed(30_000, 1500, |seed| run_schedule(seed, &settings));
 }
--- a/crates/core/tests/listing_pause.rs
+++ b/crates/core/tests/listing_pause.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn far_from_the_due_time_results_are_collected_for_long() {
+fn the_pause_is_long_far_from_the_due_time() {
     assert_eq!(at(0), Duration::from_millis(2500));
     assert_eq!(at(12_000), Duration::from_secs(1));
     assert_eq!(at(15_000), Duration::from_millis(600));
@@ -27,6 +27,6 @@
 }
 
 #[test]
-fn what_is_late_anyway_is_collected_again() {
+fn late_results_are_collected_again() {
     assert_eq!(at(20_000), Duration::from_millis(600));
 }
--- a/crates/core/tests/live_workers.rs
+++ b/crates/core/tests/live_workers.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_worker_whose_lease_ends_is_given_up_at_once() {
+fn a_worker_whose_lease_expires_is_removed_at_once() {
     let mut workers = three();
     assert!(workers.note_missing(at(101.0), "b"));
     assert_eq!(names(&workers), ["a", "c"]);
@@ -32,7 +32,7 @@
 /// All leases ran out in an outage: jobs stay where they run until each live
 /// worker has had time to return, and then only the dead one is given up.
 #[test]
-fn leases_that_ran_out_in_an_outage_move_no_job() {
+fn leases_that_expire_in_an_outage_move_no_job() {
     let mut workers = three();
     workers.note_store(at(110.0), None);
     assert!(!workers.note_missing(at(111.0), "c"));
--- a/crates/core/tests/queue_limit.rs
+++ b/crates/core/tests/queue_limit.rs
@@ -42,7 +42,7 @@
 /// Its jobs go on elsewhere, but until another node runs them nobody tells of
 /// them.
 #[test]
-fn what_a_dead_node_kept_counts_for_some_seconds() {
+fn the_queue_of_a_failed_node_counts_for_some_seconds() {
     let mut dispatcher = Dispatcher::default();
     dispatcher.note_peer(at(0), NodeId(1), 1, told(300));
     // It starts again and doesn't know its jobs yet.
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_sum_over_all_nodes_counts_without_the_own_part() {
+fn the_aggregated_sum_counts_without_the_local_queue() {
     let mut aggregator = Dispatcher::default();
     aggregator.note_peer(at(0), NodeId(1), 1, told(300));
     aggregator.note_peer(at(0), NodeId(2), 1, told(400));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_job_counts_where_it_was_taken_until_it_is_handed_over() {
+fn an_accepted_job_counts_until_it_is_handed_over() {
     let mut pending = PendingJobs::default();
     pending.note(at(0), route(), "job", 500);
     pending.note(at(10), route(), "job", 500);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn no_job_is_handed_over_while_the_store_is_away() {
+fn jobs_keep_counting_while_the_store_is_unreachable() {
     let mut pending = PendingJobs::default();
     pending.note(at(0), route(), "job", 500);
     pending.tick(at(1_900), true);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_job_that_was_not_taken_counts_no_more() {
+fn a_job_that_was_not_accepted_does_not_count() {
     let mut pending = PendingJobs::default();
     pending.note(at(0), route(), "job", 500);
     assert!(pending.holds("job"));
@@ -100,7 +100,7 @@
 
 /// The store has to come back before anybody can run it.
 #[test]
-fn a_job_on_disks_counts_for_longer() {
+fn a_spooled_job_counts_for_longer() {
     let mut pending = PendingJobs::default();
     pending.note(at(0), route(), "job", 500);
     pending.note_spooled(at(100), "job");
--- a/crates/core/tests/scheduler.rs
+++ b/crates/core/tests/scheduler.rs
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn an_online_arrival_takes_the_place_of_the_latest_batch_item_at_once() {
+fn an_online_arrival_preempts_the_latest_batch_item_at_once() {
     let mut scheduler = scheduler(&["a"]);
     for id in 0..u64::from(SLOTS) {
         scheduler.handle(at(id), Event::Arrive(work(id, Class::Batch, "batch", 10)));
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn work_that_must_not_run_twice_is_not_broken_off() {
+fn work_that_must_not_run_twice_is_not_preempted() {
     let mut scheduler = scheduler(&["a"]);
     for id in 0..u64::from(SLOTS) {
         let item = Work { preemptible: false, ..work(id, Class::Batch, "batch", 10) };
@@ -243,7 +243,7 @@
 }
 
 #[test]
-fn an_edit_of_the_table_holds_for_work_already_queued() {
+fn a_changed_concurrency_limit_applies_to_queued_work() {
     let mut scheduler = scheduler(&["a"]);
     for id in 0..40 {
         scheduler.handle(at(0), Event::Arrive(work(id, Class::Batch, "batch", 10)));
@@ -269,7 +269,7 @@
 }
 
 #[test]
-fn a_request_that_would_wait_too_long_is_refused_at_once_with_a_time() {
+fn a_request_that_would_wait_too_long_is_refused_at_once_with_a_retry_time() {
     let mut scheduler = scheduler(&["a"]);
     // Teaches the scheduler that a request takes a second.
     for id in 0..u64::from(SLOTS) {
@@ -299,7 +299,7 @@
 }
 
 #[test]
-fn a_deadline_that_passes_in_the_queue_is_told_at_once() {
+fn a_request_is_refused_when_its_deadline_passes_in_the_queue() {
     let mut scheduler = scheduler(&["a"]);
     for id in 0..u64::from(SLOTS) {
         scheduler.handle(at(0), Event::Arrive(work(id, Class::Online, "online", 10)));
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn batch_gives_way_where_it_slows_online_tokens() {
+fn the_batch_limit_shrinks_when_batch_work_slows_online_tokens() {
     let mut scheduler = scheduler(&["a"]);
     scheduler.handle(at(0), Event::Arrive(work(1, Class::Online, "online", 10)));
     for step in 0..10 {
