--- a/crates/core/tests/event_stream.rs
+++ b/crates/core/tests/event_stream.rs
@@ -33,7 +33,7 @@
 }
 
 proptest! {
-    /// However the bytes are cut, the events are the same and none is lost.
+    /// The events do not depend on how the bytes are split.
     #[test]
     fn events_do_not_depend_on_chunk_boundaries(
         texts in prop::collection::vec("[a-z \r]{0,12}", 1..8),
@@ -56,7 +56,7 @@
         prop_assert!(events.iter().enumerate().all(|(number, event)| event.id == Some(number as u64)));
     }
 
-    /// Bytes that are no events never make it fail or lose count.
+    /// Bytes that are not events must not cause an error or duplicated output.
     #[test]
     fn arbitrary_bytes_are_accepted(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut framer = EventFramer::default();
--- a/crates/core/tests/job_schedules.rs
+++ b/crates/core/tests/job_schedules.rs
@@ -1,5 +1,5 @@
-//! Jobs on a replicated log under seeded schedules of loss, delay, doubling,
-//! reordering, crash, pause, cuts and loss of a disk.
+//! Batch jobs on a replicated log under seeded schedules of message loss, delay,
+//! duplication and reordering, crashes, pauses, network partitions and disk loss.
 
 mod simulation;
 
--- a/crates/core/tests/listing_pause.rs
+++ b/crates/core/tests/listing_pause.rs
@@ -1,4 +1,4 @@
-//! For how long results of a batch job are collected.
+//! Time for which results of a batch job are collected before they are listed.
 
 use latchwheel_core::listing_pause::{listing_pause, CLOSE_TO_DUE};
 use std::time::Duration;
@@ -16,7 +16,7 @@
     assert_eq!(at(15_000), Duration::from_millis(600));
 }
 
-/// What ended in time is never kept back until after the due time.
+/// Results that complete in time must not be listed late because of the pause.
 #[test]
 fn no_pause_ends_after_the_due_time() {
     for age in (0..17_900).step_by(50) {
--- a/crates/core/tests/queue_limit.rs
+++ b/crates/core/tests/queue_limit.rs
@@ -1,4 +1,4 @@
-//! The limit on batch work that waits on a route, counted over all nodes.
+//! Limit on the batch work that waits on a route, over all nodes.
 
 use latchwheel_core::dispatch::{Dispatcher, NodeShares, RouteKey, RouteQueue};
 use latchwheel_core::identity::NodeId;
@@ -14,7 +14,7 @@
     RouteKey::of("lot")
 }
 
-/// What a node tells that keeps so many tokens.
+/// Report of a node with this many queued tokens.
 fn told(tokens: u64) -> NodeShares {
     NodeShares { queues: vec![RouteQueue { route: route(), tokens }], ..NodeShares::default() }
 }
@@ -39,13 +39,12 @@
     assert_eq!(dispatcher.queued_tokens_elsewhere(at(30), route()), 400);
 }
 
-/// Its jobs go on elsewhere, but until another node runs them nobody tells of
-/// them.
+/// Until another node takes over the jobs of a failed node, no node reports them.
 #[test]
 fn the_queue_of_a_failed_node_counts_for_some_seconds() {
     let mut dispatcher = Dispatcher::default();
     dispatcher.note_peer(at(0), NodeId(1), 1, told(300));
-    // It starts again and doesn't know its jobs yet.
+    // The node restarts and reports no jobs yet.
     dispatcher.note_peer(at(1_000), NodeId(1), 2, NodeShares::default());
     assert_eq!(dispatcher.queued_tokens_elsewhere(at(6_000), route()), 300);
     assert_eq!(dispatcher.queued_tokens_elsewhere(at(9_000), route()), 0);
@@ -63,7 +62,7 @@
         asking.note_sum(at(20), part, &told(400));
     }
     assert_eq!(asking.queued_tokens_elsewhere(at(30), route()), 350);
-    // A report of one of these nodes is in the sum already.
+    // The sum includes the report of this node already.
     asking.note_peer(at(30), NodeId(1), 1, told(300));
     assert_eq!(asking.queued_tokens_elsewhere(at(40), route()), 350);
 }
@@ -73,7 +72,7 @@
     let mut pending = PendingJobs::default();
     pending.note(at(0), route(), "job", 500);
     pending.note(at(10), route(), "job", 500);
-    assert_eq!(pending.tokens(route()), 500, "one that comes again counts once");
+    assert_eq!(pending.tokens(route()), 500, "a repeated job must count once");
     pending.tick(at(10) + HANDOVER_TIME, false);
     assert!(pending.is_empty());
 }
@@ -98,7 +97,7 @@
     assert_eq!(pending.tokens(route()), 0);
 }
 
-/// The store has to come back before anybody can run it.
+/// No node can run a spooled job before the store returns.
 #[test]
 fn a_spooled_job_counts_for_longer() {
     let mut pending = PendingJobs::default();
--- a/crates/core/tests/scheduler.rs
+++ b/crates/core/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler's promises under random events.
+//! Priority, preemption, fair sharing, refusals and limits of the scheduler.
 
 use latchwheel_core::code::ResultCode;
 use latchwheel_core::identity::{ServerId, WorkId};
@@ -58,7 +58,7 @@
     actions.iter().filter_map(start).collect()
 }
 
-/// Follows the actions and checks what must hold after each event.
+/// Tracks the state that results from the actions and checks the invariants.
 #[derive(Default)]
 struct Observer {
     online_waiting: BTreeSet<WorkId>,
@@ -82,16 +82,16 @@
                 Action::Start(id, server) => {
                     let class = self.classes[id];
                     let waited = self.online_waiting.remove(id) || self.batch_waiting.remove(id);
-                    assert!(waited, "{id:?} was started without waiting");
+                    assert!(waited, "{id:?} was started but did not wait");
                     assert!(self.running.insert(*id, (*server, class)).is_none());
                 }
                 Action::Preempt(id) => {
-                    let (_, class) = self.running.remove(id).expect("only running work gives way");
-                    assert_eq!(class, Class::Batch, "online work gave way");
+                    let (_, class) = self.running.remove(id).expect("preempted work must be running");
+                    assert_eq!(class, Class::Batch, "online work was preempted");
                     self.batch_waiting.insert(*id);
                 }
                 Action::Refuse(id, ..) => {
-                    assert!(self.online_waiting.remove(id), "refused work must have waited");
+                    assert!(self.online_waiting.remove(id), "only waiting online work may be refused");
                 }
             }
         }
@@ -103,7 +103,7 @@
         for (server, _) in self.running.values() {
             *load.entry(*server).or_default() += 1;
         }
-        assert!(load.values().all(|running| *running <= SLOTS), "a server has more than its slots");
+        assert!(load.values().all(|running| *running <= SLOTS), "a server runs more work than it has slots");
         if !self.online_waiting.is_empty() {
             let batch_running = self.running.values().any(|(_, class)| *class == Class::Batch);
             assert!(!batch_running, "online work waits while batch work runs");
@@ -206,7 +206,7 @@
     let latest = WorkId(u64::from(SLOTS) - 1);
     assert_eq!(actions, vec![Action::Preempt(latest), Action::Start(WorkId(100), server)]);
     let actions = scheduler.handle(at(20), Event::Finished(WorkId(100)));
-    assert_eq!(actions, vec![Action::Start(latest, server)], "the item goes on first");
+    assert_eq!(actions, vec![Action::Start(latest, server)], "the preempted item must resume first");
 }
 
 #[test]
@@ -217,7 +217,7 @@
         scheduler.handle(at(id), Event::Arrive(item));
     }
     let actions = scheduler.handle(at(10), Event::Arrive(work(100, Class::Online, "online", 10)));
-    // The engine itself puts the less urgent sequence aside and takes it up again.
+    // All slots are taken; the engine preempts and resumes the batch sequence itself.
     assert_eq!(actions, vec![Action::Start(WorkId(100), ServerId::of_name("a"))]);
 }
 
@@ -239,7 +239,7 @@
         heavy += next.iter().filter(|id| id.0 % 2 == 0).count();
         running.extend(next);
     }
-    assert!((145..=155).contains(&heavy), "heavy got {heavy} of 200");
+    assert!((145..=155).contains(&heavy), "row heavy got {heavy} of 200 starts");
 }
 
 #[test]
@@ -252,7 +252,7 @@
     scheduler.handle(at(1), Event::RowShare("batch".into(), limit));
     for id in 0..3 {
         let next = started(&scheduler.handle(at(2), Event::Finished(WorkId(id))));
-        assert!(next.is_empty(), "three still run, and one is allowed");
+        assert!(next.is_empty(), "the row still runs more items than the limit of one");
     }
     let next = started(&scheduler.handle(at(3), Event::Finished(WorkId(3))));
     assert_eq!(next.len(), 1);
@@ -271,7 +271,7 @@
 #[test]
 fn a_request_that_would_wait_too_long_is_refused_at_once_with_a_retry_time() {
     let mut scheduler = scheduler(&["a"]);
-    // Teaches the scheduler that a request takes a second.
+    // Sets the estimated service time to one second.
     for id in 0..u64::from(SLOTS) {
         scheduler.handle(at(0), Event::Arrive(work(id, Class::Online, "online", 10)));
     }
@@ -291,9 +291,9 @@
             break;
         }
     }
-    let (id, code, after) = refused.expect("the queue can't grow without bound");
+    let (id, code, after) = refused.expect("no request was refused");
     assert_eq!(code, ResultCode::WaitTooLong);
-    // Four run, two wait for 0.25 and 0.5 s; the third would wait for 0.75 s.
+    // Four run and two wait for 0.25 s and 0.5 s; the next would wait for 0.75 s.
     assert_eq!(id, 106);
     assert!(after >= Duration::from_millis(150), "{after:?}");
 }
@@ -340,5 +340,5 @@
         scheduler.handle(at(4000 + 300 * step), Event::TokenGap(WorkId(1), Duration::from_millis(12)));
     }
     let after = scheduler.views()[0].1.batch_limit;
-    assert!(after < before, "{after} is not below {before}");
+    assert!(after < before, "the limit was {before} and is {after}");
 }
