--- a/crates/core/tests/queue_limit.rs
+++ b/crates/core/tests/queue_limit.rs
@@ -15,7 +15,7 @@
 }
 
 /// Report of a node with this many queued tokens.
-fn told(tokens: u64) -> NodeShares {
+fn report(tokens: u64) -> NodeShares {
     NodeShares { queues: vec![RouteQueue { route: route(), tokens }], ..NodeShares::default() }
 }
 
@@ -31,11 +31,11 @@
 #[test]
 fn the_queues_of_all_other_nodes_count_together() {
     let mut dispatcher = Dispatcher::default();
-    dispatcher.note_peer(at(0), NodeId(1), 1, told(300));
-    dispatcher.note_peer(at(0), NodeId(2), 1, told(400));
+    dispatcher.note_peer(at(0), NodeId(1), 1, report(300));
+    dispatcher.note_peer(at(0), NodeId(2), 1, report(400));
     assert_eq!(dispatcher.queued_tokens_elsewhere(at(10), route()), 700);
     assert_eq!(dispatcher.queued_tokens_elsewhere(at(10), RouteKey::of("other")), 0);
-    dispatcher.note_peer(at(20), NodeId(1), 2, told(0));
+    dispatcher.note_peer(at(20), NodeId(1), 2, report(0));
     assert_eq!(dispatcher.queued_tokens_elsewhere(at(30), route()), 400);
 }
 
@@ -43,7 +43,7 @@
 #[test]
 fn the_queue_of_a_failed_node_counts_for_some_seconds() {
     let mut dispatcher = Dispatcher::default();
-    dispatcher.note_peer(at(0), NodeId(1), 1, told(300));
+    dispatcher.note_peer(at(0), NodeId(1), 1, report(300));
     // The node restarts and reports no jobs yet.
     dispatcher.note_peer(at(1_000), NodeId(1), 2, NodeShares::default());
     assert_eq!(dispatcher.queued_tokens_elsewhere(at(6_000), route()), 300);
@@ -53,18 +53,18 @@
 #[test]
 fn the_aggregated_sum_counts_without_the_local_queue() {
     let mut aggregator = Dispatcher::default();
-    aggregator.note_peer(at(0), NodeId(1), 1, told(300));
-    aggregator.note_peer(at(0), NodeId(2), 1, told(400));
+    aggregator.note_peer(at(0), NodeId(1), 1, report(300));
+    aggregator.note_peer(at(0), NodeId(2), 1, report(400));
     aggregator.set_queued_tokens(at(0), route(), 50);
-    let mut asking = Dispatcher::default();
-    asking.set_queued_tokens(at(0), route(), 400);
+    let mut receiver = Dispatcher::default();
+    receiver.set_queued_tokens(at(0), route(), 400);
     for part in aggregator.shares_of_all(at(10)).into_parts(60) {
-        asking.note_sum(at(20), part, &told(400));
+        receiver.note_sum(at(20), part, &report(400));
     }
-    assert_eq!(asking.queued_tokens_elsewhere(at(30), route()), 350);
+    assert_eq!(receiver.queued_tokens_elsewhere(at(30), route()), 350);
     // The sum includes the report of this node already.
-    asking.note_peer(at(30), NodeId(1), 1, told(300));
-    assert_eq!(asking.queued_tokens_elsewhere(at(40), route()), 350);
+    receiver.note_peer(at(30), NodeId(1), 1, report(300));
+    assert_eq!(receiver.queued_tokens_elsewhere(at(40), route()), 350);
 }
 
 #[test]
--- a/crates/core/tests/scheduler.rs
+++ b/crates/core/tests/scheduler.rs
@@ -60,14 +60,14 @@
 
 /// Tracks the state that results from the actions and checks the invariants.
 #[derive(Default)]
-struct Observer {
+struct StateTracker {
     online_waiting: BTreeSet<WorkId>,
     batch_waiting: BTreeSet<WorkId>,
     running: BTreeMap<WorkId, (ServerId, Class)>,
     classes: BTreeMap<WorkId, Class>,
 }
 
-impl Observer {
+impl StateTracker {
     fn arrive(&mut self, id: WorkId, class: Class) {
         self.classes.insert(id, class);
         match class {
@@ -76,7 +76,7 @@
         };
     }
 
-    fn follow(&mut self, actions: &[Action]) {
+    fn apply(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
                 Action::Start(id, server) => {
@@ -137,7 +137,7 @@
     #[test]
     fn online_work_never_waits_behind_batch_work(steps in steps()) {
         let mut scheduler = scheduler(&["a", "b", "c"]);
-        let mut observer = Observer::default();
+        let mut observer = StateTracker::default();
         for (number, step) in steps.into_iter().enumerate() {
             let now = at(number as u64);
             let id = WorkId(number as u64);
@@ -165,14 +165,14 @@
                 Step::Finish(_) | Step::Withdraw(_) => Event::Tick,
             };
             let actions = scheduler.handle(now, event);
-            observer.follow(&actions);
+            observer.apply(&actions);
         }
     }
 
     #[test]
     fn no_slot_is_idle_while_work_waits(steps in steps()) {
         let mut scheduler = scheduler(&["a", "b"]);
-        let mut observer = Observer::default();
+        let mut observer = StateTracker::default();
         for (number, step) in steps.into_iter().enumerate() {
             let id = WorkId(number as u64);
             let event = match step {
@@ -188,7 +188,7 @@
                 _ => Event::Tick,
             };
             let actions = scheduler.handle(at(number as u64), event);
-            observer.follow(&actions);
+            observer.apply(&actions);
             let full = observer.running.len() as u32 == 2 * SLOTS;
             prop_assert!(full || observer.batch_waiting.is_empty());
         }
