--- a/crates/core/src/item_progress.rs
+++ b/crates/core/src/item_progress.rs
@@ -2,9 +2,9 @@
 //!
 //! An item may run several times, but each of its events is kept once. An item is
 //! given up only if a server rejects it as impossible, if it failed as often as its
-//! route allows, or if it expired. Failures at a single server don't suffice, since
-//! one server may fail at every item. A broken connection is not a failure of the
-//! item: the next run continues after the last complete event.
+//! route allows, or if it expired. Failures at a single server count less, since one
+//! server may fail at every item. A broken connection is not a failure of the item:
+//! the next run continues after the last complete event.
 
 use crate::retry::doubled_pause;
 use crate::time::Instant;
@@ -96,7 +96,7 @@
 }
 
 impl ItemProgress {
-    /// Present state.
+    /// Current state.
     pub fn state(&self) -> ItemState {
         self.state
     }
--- a/crates/core/src/scheduler/server.rs
+++ b/crates/core/src/scheduler/server.rs
@@ -10,8 +10,8 @@
 const MATCHED_BLOCK_WEIGHT: i64 = 125;
 const RUNNING_WEIGHT: i64 = 1000;
 
-/// The batch limit shrinks when the time between tokens exceeds its value without
-/// batch work by this factor.
+/// The batch limit shrinks when the time between tokens exceeds this multiple of its
+/// value without batch work.
 const GAP_LIMIT: f64 = 1.05;
 /// Factor by which the batch limit shrinks.
 const DECREASE_FACTOR: f64 = 0.7;
@@ -46,7 +46,7 @@
     pub online: u32,
     /// Running batch items.
     pub batch: u32,
-    /// Present limit on running batch items.
+    /// Current limit on running batch items.
     pub batch_limit: u32,
     /// Whether the server is draining.
     pub leaving: bool,
