--- a/crates/core/src/item_progress.rs
+++ b/crates/core/src/item_progress.rs
@@ -6,7 +6,7 @@
 //! server may fail at every item. A broken connection is not a failure of the item:
 //! the next run continues after the last complete event.
 
-use crate::retry::doubled_pause;
+use crate::retry::exponential_backoff;
 use crate::time::Instant;
 use std::sync::Arc;
 use std::time::Duration;
@@ -59,7 +59,7 @@
 
 /// When an item's first run at this worker began, and what was kept of it then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Begun {
+pub struct RunStart {
     /// Start of its first run.
     pub at: Instant,
     /// Events that were kept before.
@@ -74,7 +74,7 @@
     /// Servers where a run failed.
     failed_at: Vec<Arc<str>>,
     interruptions: u32,
-    begun: Option<Begun>,
+    begun: Option<RunStart>,
     events: u64,
     last_event: Option<u64>,
     text: Vec<u8>,
@@ -154,12 +154,12 @@
     }
 
     /// A run is about to start; the first one is remembered.
-    pub fn note_begun(&mut self, now: Instant) {
-        self.begun.get_or_insert(Begun { at: now, events: self.events });
+    pub fn note_run_started(&mut self, now: Instant) {
+        self.begun.get_or_insert(RunStart { at: now, events: self.events });
     }
 
     /// When its first run began; `None` if it was never started here.
-    pub fn begun(&self) -> Option<Begun> {
+    pub fn begun(&self) -> Option<RunStart> {
         self.begun
     }
 
@@ -228,7 +228,7 @@
     /// Pause after a failed run.
     fn pause(&self) -> Duration {
         let tries = (self.failures + self.interruptions).saturating_sub(1);
-        doubled_pause(FIRST_PAUSE, LONGEST_PAUSE, tries)
+        exponential_backoff(FIRST_PAUSE, LONGEST_PAUSE, tries)
     }
 
     fn wait_or_give_up(&mut self, now: Instant, failed_for_good: bool, rules: &GiveUpRules, pause: Duration) {
--- a/crates/core/src/leasing.rs
+++ b/crates/core/src/leasing.rs
@@ -36,7 +36,7 @@
 /// Time for which a holder tells, and a leader remembers, that a request was given up:
 /// more than a group is without a leader in an election that is repeated several times
 /// (2.4 s each), and than a message may be under way (6 s).
-pub const UNANSWERED_TIME: Duration = Duration::from_secs(30);
+pub const ABANDONED_REPORT_TIME: Duration = Duration::from_secs(30);
 /// Most items in one grant of one job.
 const CHUNK_ITEMS: usize = 64;
 
@@ -53,7 +53,7 @@
 
 /// Who asks for items.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Asker {
+pub struct LeaseRequester {
     /// The node.
     pub node: NodeId,
     /// Its lease request, never used again by any node; zero is none.
@@ -183,15 +183,15 @@
     }
 
     /// An entry of this leader's own term is applied, and so all entries before it.
-    pub fn note_settled(&mut self) {
+    pub fn note_own_term_applied(&mut self) {
         self.is_settled = true;
     }
 
     /// A holder takes no answer to these requests any more: what was granted to them
     /// has not run.
-    pub fn take_back(&mut self, now: Instant, node: NodeId, unanswered: &[u64], state: &JobState) {
+    pub fn reclaim(&mut self, now: Instant, node: NodeId, unanswered: &[u64], state: &JobState) {
         for request in unanswered {
-            self.unanswered.insert(*request, now + UNANSWERED_TIME);
+            self.unanswered.insert(*request, now + ABANDONED_REPORT_TIME);
         }
         let is_lost = |lease: &Lease| lease.request != 0 && lease.node == node && unanswered.contains(&lease.request);
         let lost: Vec<u64> = self.leases.iter().filter(|(_, lease)| is_lost(lease)).map(|(id, _)| *id).collect();
@@ -210,7 +210,7 @@
     pub fn grant_shared(
         &mut self,
         now: Instant,
-        asker: Asker,
+        asker: LeaseRequester,
         rows: &[RowWeight<'_>],
         room: usize,
         state: &JobState,
@@ -240,7 +240,14 @@
     /// Grants items of a row to a node, the job with the nearest deadline
     /// first. Nothing is granted while an earlier leader's leases may hold, nor to a
     /// request that comes after word that its answer isn't taken.
-    pub fn grant(&mut self, now: Instant, asker: Asker, row: &str, room: usize, state: &JobState) -> Vec<Grant> {
+    pub fn grant(
+        &mut self,
+        now: Instant,
+        asker: LeaseRequester,
+        row: &str,
+        room: usize,
+        state: &JobState,
+    ) -> Vec<Grant> {
         let mut grants = Vec::new();
         if now < self.granting_from || room == 0 || self.unanswered.contains_key(&asker.request) {
             return grants;
@@ -272,7 +279,7 @@
         for grant in &grants {
             self.held.hold(&grant.job, grant.positions.iter().copied());
             let positions = grant.positions.iter().copied().collect();
-            let Asker { node, request } = asker;
+            let LeaseRequester { node, request } = asker;
             let lease = Lease { node, request, job: grant.job.clone(), positions, until: now + LEASE_LENGTH };
             self.leases.insert(grant.lease, lease);
         }
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -108,7 +108,7 @@
 
 /// The limits as a node that serves requests sees them.
 #[derive(Debug, Default)]
-pub struct LimitHolder {
+pub struct ShareHolder {
     shares: HashMap<String, HeldShare>,
 }
 
@@ -121,7 +121,7 @@
     pub per_second: f64,
 }
 
-impl LimitHolder {
+impl ShareHolder {
     /// Takes one request of the row from the node's share of `row_rate`: its
     /// even part among `nodes`, and what it has leased.
     ///
@@ -181,7 +181,7 @@
 
     /// The share of a row that has just refused a request, unless its home
     /// was asked a moment ago.
-    pub fn pressing(&mut self, now: Instant, row: &str) -> Vec<ShareDemand> {
+    pub fn urgent_demands(&mut self, now: Instant, row: &str) -> Vec<ShareDemand> {
         let Some(share) = self.shares.get_mut(row) else { return Vec::new() };
         let asked_lately = share.pressed_at.is_some_and(|at| now.since(at).as_secs_f64() < PRESSED_SECONDS);
         if asked_lately || now + SHARE_RENEWAL < share.valid_until {
@@ -213,11 +213,11 @@
 
 /// The limits as the home of rows sees them.
 #[derive(Debug, Default)]
-pub struct LimitHome {
+pub struct ShareIssuer {
     claims: HashMap<String, BTreeMap<NodeId, Claim>>,
 }
 
-impl LimitHome {
+impl ShareIssuer {
     /// Grants a node's share of the part of the row's rate that is leased
     /// out, in proportion to demand. The sum of grants that are still valid
     /// never exceeds that part.
--- a/crates/core/src/permits/holder.rs
+++ b/crates/core/src/permits/client.rs
@@ -1,6 +1,6 @@
 //! A node that has requests of tenants: it asks their homes for permits.
 
-use super::{homes_of, Home, PERMIT_LIFE};
+use super::{coordinators_of, Coordinator, PERMIT_TTL};
 use crate::identity::NodeId;
 use crate::tenants::{RateLimit, Tenant, TenantKey};
 use crate::time::Instant;
@@ -21,7 +21,7 @@
 /// Longest time that a request waits: a home that is away is replaced within 0.5 s.
 const LONGEST_WAIT: Duration = Duration::from_millis(700);
 /// What a request is told that waited in vain.
-const COME_BACK: Duration = Duration::from_millis(250);
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
 /// All nodes that reach no home use this part of a limit together.
 const OWN_PART: f64 = 0.3;
 /// Time over which requests are counted to know how many come.
@@ -33,9 +33,9 @@
 
 /// A call to a home.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct PermitAsk {
+pub struct PermitCall {
     /// Home that is asked.
-    pub home: NodeId,
+    pub coordinator: NodeId,
     /// Tenant.
     pub tenant: TenantKey,
     /// Number of the call.
@@ -48,28 +48,28 @@
 
 /// What an answer means for the requests that wait for a tenant's permits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Answered {
+pub struct PermitOutcome {
     /// So many may go on, the first ones.
     pub go: u32,
     /// So many of the next ones are refused.
     pub refused: u32,
     /// Time after which they may come back.
-    pub come_back: Duration,
+    pub retry_after: Duration,
 }
 
 /// What waiting means for the requests of a tenant that had no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Waited {
+pub struct TenantOutcome {
     /// Tenant.
     pub tenant: TenantKey,
     /// The outcome.
-    pub answered: Answered,
+    pub answered: PermitOutcome,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Call {
     number: u64,
-    home: NodeId,
+    coordinator: NodeId,
     sent_at: Instant,
     urgent: u32,
     /// Calls to this home in a row.
@@ -135,7 +135,7 @@
 
     /// Permits to hold for requests to come.
     fn ahead(&self, now: Instant) -> u32 {
-        (self.rate_now(now) * PERMIT_LIFE.as_secs_f64() * AHEAD_PART) as u32
+        (self.rate_now(now) * PERMIT_TTL.as_secs_f64() * AHEAD_PART) as u32
     }
 
     fn wants(&self, now: Instant) -> bool {
@@ -163,13 +163,13 @@
 
 /// The permits that a node holds and asks for.
 #[derive(Debug, Default)]
-pub struct PermitHolder {
+pub struct PermitClient {
     tenants: BTreeMap<TenantKey, Held>,
     silent_until: BTreeMap<NodeId, Instant>,
     last_number: u64,
 }
 
-impl PermitHolder {
+impl PermitClient {
     /// A request of a tenant came: it takes a permit, or waits for one.
     /// Gives back whether it may go on.
     pub fn take(&mut self, now: Instant, tenant: &Tenant) -> bool {
@@ -200,15 +200,15 @@
         }
     }
 
-    /// Calls that are to be made now. `homes` are all homes.
-    pub fn calls(&mut self, now: Instant, homes: &[Home]) -> Vec<PermitAsk> {
+    /// Calls that are to be made now. `coordinators` are all homes.
+    pub fn calls(&mut self, now: Instant, coordinators: &[Coordinator]) -> Vec<PermitCall> {
         self.tenants.retain(|_, held| held.waiting > 0 || now.since(held.at) < FORGET_AFTER);
         self.silent_until.retain(|_, until| now < *until);
         let mut asks = Vec::new();
         for (tenant, held) in &mut self.tenants {
             let overdue = held.call.filter(|call| now.since(call.sent_at) >= ASK_AGAIN);
             if let Some(call) = overdue.filter(|call| call.calls >= CALLS_TO_ONE_HOME) {
-                self.silent_until.insert(call.home, now + SILENT_TIME);
+                self.silent_until.insert(call.coordinator, now + SILENT_TIME);
                 held.hops = 0;
             }
             let answer_may_come = held.call.is_some() && overdue.is_none();
@@ -219,20 +219,20 @@
             if !held.wants(now) {
                 continue;
             }
-            let mut ordered = homes_of(*tenant, homes);
-            ordered.sort_by_key(|home| self.silent_until.contains_key(home));
-            let Some(home) = ordered.get(held.hops % ordered.len().max(1)).copied() else { continue };
-            let calls = overdue.filter(|call| call.home == home).map_or(0, |call| call.calls);
+            let mut ordered = coordinators_of(*tenant, coordinators);
+            ordered.sort_by_key(|coordinator| self.silent_until.contains_key(coordinator));
+            let Some(coordinator) = ordered.get(held.hops % ordered.len().max(1)).copied() else { continue };
+            let calls = overdue.filter(|call| call.coordinator == coordinator).map_or(0, |call| call.calls);
             self.last_number += 1;
-            let ask = PermitAsk {
-                home,
+            let ask = PermitCall {
+                coordinator,
                 tenant: *tenant,
                 number: self.last_number,
                 urgent: held.waiting,
                 ahead: held.ahead(now).saturating_sub(held.stock(now)),
             };
             let (number, urgent) = (ask.number, ask.urgent);
-            held.call = Some(Call { number, home, sent_at: now, urgent, calls: calls + 1 });
+            held.call = Some(Call { number, coordinator, sent_at: now, urgent, calls: calls + 1 });
             asks.push(ask);
         }
         asks
@@ -253,14 +253,14 @@
         tenant: TenantKey,
         number: u64,
         granted: u32,
-        come_back: Duration,
-    ) -> Answered {
-        let Some(held) = self.tenants.get_mut(&tenant) else { return Answered::default() };
-        let Some(call) = held.call.filter(|call| call.number == number) else { return Answered::default() };
+        retry_after: Duration,
+    ) -> PermitOutcome {
+        let Some(held) = self.tenants.get_mut(&tenant) else { return PermitOutcome::default() };
+        let Some(call) = held.call.filter(|call| call.number == number) else { return PermitOutcome::default() };
         held.call = None;
         held.hops = 0;
-        self.silent_until.remove(&call.home);
-        let until = call.sent_at + PERMIT_LIFE;
+        self.silent_until.remove(&call.coordinator);
+        let until = call.sent_at + PERMIT_TTL;
         let granted = if now < until { granted } else { 0 };
         let go = granted.min(held.waiting);
         let refused = call.urgent.saturating_sub(granted).min(held.waiting - go);
@@ -269,14 +269,14 @@
         if granted > go {
             held.add_stock(granted - go, until, now);
         }
-        Answered { go, refused, come_back }
+        PermitOutcome { go, refused, retry_after }
     }
 
     /// A home said that another one is to be asked.
-    pub fn note_not_home(&mut self, now: Instant, tenant: TenantKey, number: u64) {
+    pub fn note_not_coordinator(&mut self, now: Instant, tenant: TenantKey, number: u64) {
         let Some(held) = self.tenants.get_mut(&tenant) else { return };
         let Some(call) = held.call.filter(|call| call.number == number) else { return };
-        self.silent_until.remove(&call.home);
+        self.silent_until.remove(&call.coordinator);
         held.call = None;
         held.hops += 1;
         if held.hops % HOPS_BEFORE_REST == 0 {
@@ -287,14 +287,14 @@
     /// Requests that waited for too long: those for which the node's own part is
     /// enough go on, the others are refused in the end. `nodes` is the number of
     /// all nodes that take requests.
-    pub fn overdue(&mut self, now: Instant, nodes: usize) -> Vec<Waited> {
+    pub fn overdue(&mut self, now: Instant, nodes: usize) -> Vec<TenantOutcome> {
         let mut result = Vec::new();
         for (tenant, held) in &mut self.tenants {
             let waited = now.since(held.waits_since);
             if held.waiting == 0 || waited < OWN_PART_AFTER {
                 continue;
             }
-            let mut answered = Answered { come_back: COME_BACK, ..Answered::default() };
+            let mut answered = PermitOutcome { retry_after: DEFAULT_RETRY_AFTER, ..PermitOutcome::default() };
             if held.take_own(now, nodes) {
                 answered.go = 1;
             }
@@ -303,7 +303,7 @@
             }
             held.waiting -= answered.go + answered.refused;
             if answered.go + answered.refused > 0 {
-                result.push(Waited { tenant: *tenant, answered });
+                result.push(TenantOutcome { tenant: *tenant, answered });
             }
         }
         result
--- a/crates/core/tests/store_outage.rs
+++ b/crates/core/tests/store_outage.rs
@@ -1,8 +1,8 @@
 //! 300 nodes, three of them upstreams, through outages of the record store, cut
 //! upstreams and lost polls: what they call, and when they know of its return.
 
-use latchwheel_core::circuit_breaker::{CircuitBreaker, ProbePolicy, LONGEST_SHARED_PAUSE};
-use latchwheel_core::record_source::{PollWait, RecordSource, SourceChoice, UpstreamState};
+use latchwheel_core::circuit_breaker::{CircuitBreaker, ProbePolicy, MAX_SHARED_PAUSE};
+use latchwheel_core::record_source::{PollCondition, RecordSource, SourceSelector, UpstreamState};
 use latchwheel_core::time::Instant;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -68,7 +68,7 @@
 }
 
 struct Node {
-    choice: SourceChoice,
+    choice: SourceSelector,
     breaker: CircuitBreaker,
     /// When the poll on its way was sent, or when the next one is.
     poll_at: Instant,
@@ -81,7 +81,7 @@
     fn new(number: usize) -> Self {
         let policy = ProbePolicy { calls_per_second: CALLS_PER_SECOND, nodes: NODES, relied_on: false };
         Self {
-            choice: SourceChoice::new(UPSTREAMS, number as u64, START),
+            choice: SourceSelector::new(UPSTREAMS, number as u64, START),
             breaker: CircuitBreaker::new(policy),
             poll_at: START,
             next_call: START,
@@ -94,9 +94,9 @@
         let Some(number) = self.choice.upstream().filter(|_| now >= self.poll_at) else { return };
         let state = upstreams[number].state(now);
         let waits = match self.choice.poll_wait() {
-            PollWait::Nothing => false,
-            PollWait::News => now.since(self.poll_at) < HOLD,
-            PollWait::Soundness => !state.is_sound() && now.since(self.poll_at) < HOLD,
+            PollCondition::Nothing => false,
+            PollCondition::Change => now.since(self.poll_at) < HOLD,
+            PollCondition::Reliable => !state.is_reliable() && now.since(self.poll_at) < HOLD,
         };
         if waits {
             return;
@@ -113,11 +113,11 @@
     }
 
     fn hear(&mut self, now: Instant, state: &UpstreamState, trouble: &Trouble, draw: f64) {
-        if state.is_sound() {
+        if state.is_reliable() {
             self.knows = self.knows.max(now - state.age);
-            self.breaker.note_told_answering(now);
+            self.breaker.note_upstream_answering(now);
         } else if self.choice.source() == RecordSource::Store && !trouble.ignores_upstreams {
-            self.breaker.note_told_away(now, draw);
+            self.breaker.note_upstream_unreachable(now, draw);
         }
     }
 
@@ -204,7 +204,7 @@
 /// Calls that all nodes may make in an outage: each of them one as it begins, and
 /// its probes.
 fn most_calls(outage: Duration) -> usize {
-    let probes = outage.as_secs_f64() / (LONGEST_SHARED_PAUSE.as_secs_f64() * 0.75) + 1.0;
+    let probes = outage.as_secs_f64() / (MAX_SHARED_PAUSE.as_secs_f64() * 0.75) + 1.0;
     (NODES as f64 * probes) as usize
 }
 
@@ -245,7 +245,7 @@
 
 /// Time in which each node finds out by itself.
 fn own_bound() -> Duration {
-    LONGEST_SHARED_PAUSE.mul_f64(1.25) + Duration::from_millis(100)
+    MAX_SHARED_PAUSE.mul_f64(1.25) + Duration::from_millis(100)
 }
 
 /// No upstream is needed: each node finds out by itself within its bound.
--- a/crates/proxy/src/own_claims.rs
+++ b/crates/proxy/src/own_claims.rs
@@ -5,7 +5,7 @@
 use crate::dialect::Dialect;
 use crate::shared::Shared;
 use latchwheel_core::admission::{Claim, ClaimId, ClaimQueue, Entry, Refused};
-use latchwheel_core::dispatch::{Ask, Choice, Placement, Prompt};
+use latchwheel_core::dispatch::{Choice, Placement, PlacementQuery, Prompt};
 use latchwheel_core::identity::NodeId;
 use latchwheel_core::time::Instant;
 use std::collections::HashMap;
@@ -92,19 +92,19 @@
         };
         let (id, entry) = self.enter(now, ask.service, waiting, terms);
         let _entered = Entered { claims: self, service: ask.service, id };
-        let standing = match entry {
-            Entry::Refused { come_back, standing } => return (Some(Choice::Full(come_back)), (&standing).into()),
-            Entry::Queued(standing) => ClaimStanding::from(&standing),
+        let position = match entry {
+            Entry::Refused { retry_after, position } => return (Some(Choice::Full(retry_after)), (&position).into()),
+            Entry::Queued(position) => ClaimStanding::from(&position),
         };
         let until = now + KEEPERS_AGAIN_AFTER;
         while shared.clock.now() < until {
             self.grant(shared, ask.service);
             tokio::select! {
-                choice = &mut answer => return (choice.ok(), standing),
+                choice = &mut answer => return (choice.ok(), position),
                 () = tokio::time::sleep(GRANT_PAUSE) => {}
             }
         }
-        (None, standing)
+        (None, position)
     }
 
     fn enter(&self, now: Instant, service: &Arc<str>, waiting: Waiting, terms: &ClaimTerms) -> (ClaimId, Entry) {
@@ -180,7 +180,7 @@
         for refused in refused {
             if let Some(waiting) = self.waiting.remove(&refused.claim.id) {
                 // Whoever is gone needs no answer.
-                let _ = waiting.answer.send(Choice::Full(refused.come_back));
+                let _ = waiting.answer.send(Choice::Full(refused.retry_after));
             }
         }
     }
@@ -188,7 +188,7 @@
 
 impl Waiting {
     fn place<D: Dialect>(&self, shared: &Shared<D>, now: Instant, service: &str) -> Option<Placement> {
-        let ask = Ask {
+        let ask = PlacementQuery {
             service,
             prompt: &self.prompt,
             avoid: &self.avoid,
--- a/crates/proxy/src/peers/mod.rs
+++ b/crates/proxy/src/peers/mod.rs
@@ -21,10 +21,10 @@
 use crate::waiting::sleep_or_never;
 use known::Candidate;
 use latchwheel_core::byte_budget::ByteBudget;
-use latchwheel_core::dispatch::{NodeShares, ServerKey, REPORT_LIFE};
+use latchwheel_core::dispatch::{NodeShares, ServerKey, REPORT_TTL};
 use latchwheel_core::identity::NodeId;
 use latchwheel_protocol::{v1, Message};
-use messages::{hearing_number, hearing_of, message_of, queue_message_of, queue_of, share_of};
+use messages::{coverage_of, hearing_number, message_of, queue_message_of, queue_of, share_of};
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -63,7 +63,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PeerDuties {
     /// Others must be able to hear it, however many there are.
-    pub says_hello: bool,
+    pub sends_heartbeat: bool,
     /// It sums up what all nodes tell.
     pub aggregates: bool,
     /// Most bytes of sums that it sends in a second; beyond it some nodes hear
@@ -152,7 +152,7 @@
 /// The pause that keeps the rate within its bound.
 fn pause_after(bytes: usize) -> Duration {
     let bounded = Duration::from_secs_f64(bytes as f64 / BYTES_PER_SECOND as f64);
-    bounded.max(TELL_EVERY).min(REPORT_LIFE)
+    bounded.max(TELL_EVERY).min(REPORT_TTL)
 }
 
 /// Starts above the numbers of an earlier start of this node.
@@ -262,7 +262,7 @@
         } else if !message.permit_grants.is_empty() {
             self.shared.permits.take_grants(&message.permit_grants);
         } else if let Some(request) = &message.placement_request {
-            self.advise(NodeId(message.from), request.clone(), from, peers);
+            self.reserve_server(NodeId(message.from), request.clone(), from, peers);
         } else if let Some(advice) = &message.placement_advice {
             self.shared.placements.take_advice(*advice);
         } else if !message.queued_claims.is_empty() {
@@ -289,10 +289,10 @@
         self.compare_verdicts(report.quarantine_digest, from);
         let shares = NodeShares {
             servers: report.shares.iter().map(share_of).collect(),
-            pressed: report.pressed.clone(),
+            overloaded: report.pressed.clone(),
             waiting: report.waiting,
             queues: report.queues.iter().map(queue_of).collect(),
-            hearing: hearing_of(report.hearing),
+            coverage: coverage_of(report.hearing),
         };
         if report.sum_parts > 0 {
             self.take_sum(report, shares);
@@ -350,9 +350,9 @@
     /// Candidates that are told of this node's requests. Deputies come first where
     /// they are needed: one that hears enough is found sooner.
     fn told_candidates(&self) -> Vec<SocketAddr> {
-        let told = self.candidates.iter().filter(|candidate| !candidate.home.deputy || self.deputies_needed);
+        let told = self.candidates.iter().filter(|candidate| !candidate.home.fallback || self.deputies_needed);
         let mut told: Vec<&Candidate> = told.collect();
-        told.sort_by_key(|candidate| self.deputies_needed && !candidate.home.deputy);
+        told.sort_by_key(|candidate| self.deputies_needed && !candidate.home.fallback);
         told.into_iter().filter_map(|candidate| candidate.address).collect()
     }
 
@@ -381,7 +381,7 @@
     }
 
     fn say_hello(&mut self, peers: &Peers) -> usize {
-        if !self.duties.says_hello || self.hello_at.elapsed() < HELLO_EVERY {
+        if !self.duties.sends_heartbeat || self.hello_at.elapsed() < HELLO_EVERY {
             return 0;
         }
         self.hello_at = Instant::now();
@@ -413,11 +413,11 @@
             from: self.own.0,
             sequence: self.sequence,
             shares: shares.servers.iter().map(message_of).collect(),
-            pressed: shares.pressed.clone(),
+            pressed: shares.overloaded.clone(),
             waiting: shares.waiting,
             queues: shares.queues.iter().map(queue_message_of).collect(),
             newest_table: self.shared.newest_table(),
-            hearing: hearing_number(shares.hearing),
+            hearing: hearing_number(shares.coverage),
             quarantine_digest: self.shared.crashes.digest(),
             machine_room: self.shared.machine_room.message(),
             ..v1::ServerShares::default()
--- a/crates/proxy/src/place.rs
+++ b/crates/proxy/src/place.rs
@@ -5,9 +5,9 @@
 use crate::placements::PlaceAsk;
 use hyper::Response;
 use latchwheel_core::code::ResultCode;
-use latchwheel_core::dispatch::{Ask, Choice, Placement};
-use latchwheel_core::holding::{longest_hold, timely_wait};
-use latchwheel_core::start_pacing::PacedRequest;
+use latchwheel_core::dispatch::{Choice, Placement, PlacementQuery};
+use latchwheel_core::holding::{max_hold, timely_wait};
+use latchwheel_core::startup_pacing::PacedRequest;
 use latchwheel_events::{emit, Event};
 use latchwheel_http::Body;
 use std::sync::Arc;
@@ -30,10 +30,10 @@
             }
             let placement = match self.place().await {
                 Choice::Send(placement) => placement,
-                Choice::Full(come_back) => {
+                Choice::Full(retry_after) => {
                     self.shared.dispatcher().note_refused(self.shared.clock.now(), &self.service);
                     let code = if self.takes_turns() { ResultCode::CrowdedOut } else { ResultCode::WaitTooLong };
-                    return Err(self.refuse(code, Some(come_back)));
+                    return Err(self.refuse(code, Some(retry_after)));
                 }
                 Choice::NoServer => return Err(self.refuse(ResultCode::NoServer, None)),
             };
@@ -50,7 +50,7 @@
     /// Waits until it is decided whether servers ended under the request. One that has no
     /// time for that is refused at once.
     async fn await_verdict(&self) -> Result<(), Response<Body>> {
-        while let Some(pause) = self.shared.weighed_for(&self.outgoing) {
+        while let Some(pause) = self.shared.hold_remaining(&self.outgoing) {
             if pause >= self.left() {
                 return Err(self.refuse(ResultCode::Quarantined, Some(pause)));
             }
@@ -75,7 +75,7 @@
         let Some(choice) = self.ask_keepers_or_wait().await else { return self.choose() };
         let Choice::Full(_) = choice else { return choice };
         let now = self.shared.clock.now();
-        if !self.shared.held().is_worth_while(now, &self.service, rand::random()) {
+        if !self.shared.held().should_hold(now, &self.service, rand::random()) {
             return choice;
         }
         let held = self.hold().await;
@@ -89,7 +89,7 @@
 
     /// Asks for a free slot now and then.
     async fn hold(&self) -> Choice {
-        let end = self.shared.clock.now() + self.longest_hold();
+        let end = self.shared.clock.now() + self.max_hold();
         loop {
             tokio::time::sleep(HOLD_PAUSE.mul_f64(1.0 + rand::random::<f64>())).await;
             match self.shared.placements.ask_for_free(&self.shared, &self.place_ask()).await {
@@ -103,10 +103,10 @@
     }
 
     /// Longest time to wait for a slot from now on.
-    pub(crate) fn longest_hold(&self) -> Duration {
+    pub(crate) fn max_hold(&self) -> Duration {
         let waited = self.shared.clock.now().since(self.received);
         let patience = self.route.caller_patience.map(|patience| patience.saturating_sub(waited));
-        longest_hold(self.left(), patience)
+        max_hold(self.left(), patience)
     }
 
     /// Asks keepers for a place. Where none is known yet after a start, the request waits
@@ -159,7 +159,7 @@
     /// The place that looks best from here at a server that is none of these, if another
     /// is ready.
     pub(crate) fn choose_among(&self, avoid: &[Arc<str>], wait_limit: Duration) -> Choice {
-        let ask = Ask {
+        let ask = PlacementQuery {
             service: &self.service,
             prompt: &self.outgoing.prompt,
             avoid,
--- a/crates/proxy/src/shared.rs
+++ b/crates/proxy/src/shared.rs
@@ -13,10 +13,10 @@
 use latchwheel_clock::Clock;
 use latchwheel_core::directory::DirectoryChange;
 use latchwheel_core::dispatch::{Dispatcher, ServerKey};
-use latchwheel_core::holding::HeldOutcomes;
-use latchwheel_core::key_life::KeyLife;
+use latchwheel_core::holding::HoldOutcomes;
+use latchwheel_core::key_acceptance::KeyAcceptance;
 use latchwheel_core::permits::LimitMargin;
-use latchwheel_core::routes::{Route, RoutingTable, WeightedTurns};
+use latchwheel_core::routes::{Route, RoutingTable, WeightedRoundRobin};
 use latchwheel_core::second_attempt::SecondAttempts;
 use std::sync::atomic::{AtomicBool, AtomicU64, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -52,9 +52,9 @@
     dispatcher: Mutex<Dispatcher>,
     table: Mutex<Arc<RoutingTable>>,
     /// Until when keys of the table in force are accepted.
-    pub(crate) key_life: Mutex<KeyLife>,
-    turns: Mutex<WeightedTurns>,
-    held: Mutex<HeldOutcomes>,
+    pub(crate) key_life: Mutex<KeyAcceptance>,
+    turns: Mutex<WeightedRoundRobin>,
+    held: Mutex<HoldOutcomes>,
     second_attempts: Mutex<SecondAttempts>,
     /// Newest version of the table that another node told of.
     newest_table: AtomicU64,
@@ -178,7 +178,7 @@
         for change in changes {
             match change {
                 DirectoryChange::Ready(record) => dispatcher.set_one_ready(record),
-                DirectoryChange::Draining(server) | DirectoryChange::Gone(server) => dispatcher.set_left(server),
+                DirectoryChange::Draining(server) | DirectoryChange::Gone(server) => dispatcher.set_draining(server),
                 DirectoryChange::Unconfirmed(_) => {}
             }
         }
@@ -191,7 +191,7 @@
     }
 
     /// How requests ended that were held.
-    pub(crate) fn held(&self) -> MutexGuard<'_, HeldOutcomes> {
+    pub(crate) fn held(&self) -> MutexGuard<'_, HoldOutcomes> {
         lock(&self.held)
     }
 
--- a/crates/store/src/lease_desk.rs
+++ b/crates/store/src/lease_desk.rs
@@ -5,7 +5,7 @@
 use latchwheel_core::code::ResultCode;
 use latchwheel_core::identity::NodeId;
 use latchwheel_core::jobs::{Job, JobState, StateKey, StateTable};
-use latchwheel_core::leasing::{Asker, Grant, Leasing, RowWeight};
+use latchwheel_core::leasing::{Grant, LeaseRequester, Leasing, RowWeight};
 use latchwheel_core::time::Instant;
 use latchwheel_protocol::v1::command::Body;
 use latchwheel_protocol::v1::{
@@ -63,7 +63,7 @@
         view: &StateView,
     ) -> Result<Option<Held>, DiskFault> {
         let node = NodeId(request.node);
-        self.leasing.take_back(now, node, &request.unanswered, state);
+        self.leasing.reclaim(now, node, &request.unanswered, state);
         let mut answer = LeaseAnswer { code: ResultCode::Done.number(), term: self.term, ..LeaseAnswer::default() };
         if request.term != self.term
             && !request.held.is_empty()
@@ -75,7 +75,7 @@
             return Ok(None);
         }
         answer.cancelled_jobs = self.leasing.renew(now, node, &request.held, state);
-        let asker = Asker { node, request: request.request };
+        let asker = LeaseRequester { node, request: request.request };
         let mut starts = Vec::new();
         let open_rows = self.leasing.open_rows();
         for room in &request.rooms {
@@ -119,7 +119,7 @@
     /// An entry of this term is applied.
     pub(crate) fn note_entry(&mut self, term: u64) {
         if term == self.term {
-            self.leasing.note_settled();
+            self.leasing.note_own_term_applied();
         }
     }
 
@@ -149,7 +149,7 @@
     }
 }
 
-fn start_command(grant: &Grant, asker: Asker) -> Command {
+fn start_command(grant: &Grant, asker: LeaseRequester) -> Command {
     let (holder, request) = (asker.node.0, asker.request);
     let start = StartItems { job: grant.job.clone(), positions: grant.positions.clone(), holder, request };
     Command { body: Some(Body::StartItems(start)) }
