--- a/crates/core/src/item_progress.rs
+++ b/crates/core/src/item_progress.rs
@@ -74,7 +74,7 @@
     /// Servers where a run failed.
     failed_at: Vec<Arc<str>>,
     interruptions: u32,
-    begun: Option<RunStart>,
+    first_run: Option<RunStart>,
     events: u64,
     last_event: Option<u64>,
     text: Vec<u8>,
@@ -87,7 +87,7 @@
             failures: 0,
             failed_at: Vec::new(),
             interruptions: 0,
-            begun: None,
+            first_run: None,
             events: 0,
             last_event: None,
             text: Vec::new(),
@@ -155,12 +155,12 @@
 
     /// A run is about to start; the first one is remembered.
     pub fn note_run_started(&mut self, now: Instant) {
-        self.begun.get_or_insert(RunStart { at: now, events: self.events });
+        self.first_run.get_or_insert(RunStart { at: now, events: self.events });
     }
 
     /// When its first run began; `None` if it was never started here.
-    pub fn begun(&self) -> Option<RunStart> {
-        self.begun
+    pub fn first_run(&self) -> Option<RunStart> {
+        self.first_run
     }
 
     /// Marks the item as running.
--- a/crates/core/src/item_urgency.rs
+++ b/crates/core/src/item_urgency.rs
@@ -45,7 +45,7 @@
 
 /// Of items that may start, given by position and kept events, those that can be in
 /// time, or all if none can. What needs least goes first.
-pub fn start_list(times: &RunTimes, waiting: Vec<(usize, u64)>, left: RemainingTime) -> StartPlan {
+pub fn plan_starts(times: &RunTimes, waiting: Vec<(usize, u64)>, left: RemainingTime) -> StartPlan {
     let in_time = |item: &&(usize, u64)| can_meet_due_time(times, item.1, left);
     let timely: Vec<(usize, u64)> = waiting.iter().filter(in_time).copied().collect();
     let overdue = timely.is_empty();
--- a/crates/core/src/key_acceptance.rs
+++ b/crates/core/src/key_acceptance.rs
@@ -22,7 +22,7 @@
     }
 
     /// A source has told what the table is now.
-    pub fn note_told(&mut self) {
+    pub fn note_received(&mut self) {
         self.until = None;
     }
 
--- a/crates/core/src/leasing.rs
+++ b/crates/core/src/leasing.rs
@@ -28,7 +28,7 @@
 /// pause of 250 ms between, still reaches the next leader within the lease length in
 /// which that one grants nothing. With the 6 s of other calls every started item of every
 /// holder was given up as unknown.
-pub const LEASE_CALL_TIME: Duration = Duration::from_secs(1);
+pub const LEASE_CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// A holder that renewed within this time is not gone, whatever other nodes say: it
 /// renews each 750 ms. A node that was cut off tells, once it is heard again, that all
 /// others are gone.
@@ -287,7 +287,7 @@
     }
 
     /// Items with a committed result are no longer held.
-    pub fn completed(&mut self, job: &str, positions: &[u64]) {
+    pub fn note_completed(&mut self, job: &str, positions: &[u64]) {
         self.held.release(job, positions);
         for lease in self.leases.values_mut().filter(|lease| lease.job == job) {
             for position in positions {
@@ -300,7 +300,7 @@
     /// A holder gives items back that it has not started. Only items that are
     /// still under the very lease count: a message that comes late or twice
     /// must not take an item from its next holder.
-    pub fn returned(&mut self, node: NodeId, chunk: &HeldChunk, job: &Job) {
+    pub fn return_items(&mut self, node: NodeId, chunk: &HeldChunk, job: &Job) {
         let Some(lease) = self.leases.get_mut(&chunk.lease) else { return };
         if lease.node != node || lease.job != chunk.job {
             return;
--- a/crates/core/src/pending_cancellations.rs
+++ b/crates/core/src/pending_cancellations.rs
@@ -85,12 +85,12 @@
     }
 
     /// The end to try next.
-    pub fn next_end(&mut self) -> Option<PendingCancellation> {
+    pub fn next_cancellation(&mut self) -> Option<PendingCancellation> {
         self.ends.pop_front()
     }
 
     /// Pause before the next try.
-    pub fn pause(&self) -> Duration {
+    pub fn backoff(&self) -> Duration {
         match self.failures.checked_sub(1) {
             Some(before) => exponential_backoff(PAUSE, LONGEST_PAUSE, before),
             None => Duration::ZERO,
--- a/crates/core/tests/item_urgency.rs
+++ b/crates/core/tests/item_urgency.rs
@@ -1,6 +1,6 @@
 //! Which items of batch jobs start, where peaks of online requests take their slots.
 
-use latchwheel_core::item_urgency::{can_meet_due_time, start_list, RemainingTime, StartPlan};
+use latchwheel_core::item_urgency::{can_meet_due_time, plan_starts, RemainingTime, StartPlan};
 use latchwheel_core::run_times::RunTimes;
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -46,11 +46,11 @@
 fn what_needs_least_goes_first_and_overdue_items_last() {
     let times = measured();
     let waiting = vec![(0, 0), (1, 100), (2, 0), (3, 40)];
-    let in_time = start_list(&times, waiting.clone(), left(Duration::from_secs(9)));
+    let in_time = plan_starts(&times, waiting.clone(), left(Duration::from_secs(9)));
     assert_eq!(in_time, StartPlan { positions: vec![1, 3, 0, 2], overdue: false });
-    let only_begun = start_list(&times, waiting.clone(), left(Duration::from_secs(4)));
+    let only_begun = plan_starts(&times, waiting.clone(), left(Duration::from_secs(4)));
     assert_eq!(only_begun, StartPlan { positions: vec![1, 3], overdue: false });
-    let none = start_list(&times, waiting, left(Duration::ZERO));
+    let none = plan_starts(&times, waiting, left(Duration::ZERO));
     assert_eq!(none, StartPlan { positions: vec![1, 3, 0, 2], overdue: true });
 }
 
@@ -202,7 +202,7 @@
 fn where_peaks_take_the_slots_more_items_are_in_time_than_by_due_times_alone() {
     let (mut before, mut after, mut all) = (0, 0, 0);
     for seed in 0..5 {
-        let (in_time, items) = Load::play(seed, start_list);
+        let (in_time, items) = Load::play(seed, plan_starts);
         let by_due_time = Load::play(seed, by_due_time_alone).0;
         assert!(in_time > by_due_time, "seed {seed}: {by_due_time} {in_time} of {items}");
         after += in_time;
--- a/crates/core/tests/key_acceptance.rs
+++ b/crates/core/tests/key_acceptance.rs
@@ -30,6 +30,6 @@
     keys.note_snapshot_used(TAKEN, MAX_SNAPSHOT_AGE / 2);
     assert!(keys.accepts(TAKEN), "a snapshot that was confirmed later");
     keys.note_snapshot_used(TAKEN, MAX_SNAPSHOT_AGE);
-    keys.note_told();
+    keys.note_received();
     assert!(keys.accepts(TAKEN + MAX_SNAPSHOT_AGE * 9));
 }
--- a/crates/core/tests/leasing.rs
+++ b/crates/core/tests/leasing.rs
@@ -5,7 +5,7 @@
 use latchwheel_core::abandoned_requests::AbandonedRequests;
 use latchwheel_core::identity::NodeId;
 use latchwheel_core::jobs::{Effect, JobState, StateKey, StateTable};
-use latchwheel_core::leasing::{LeaseRequester, Leasing, ABANDONED_REPORT_TIME, LEASE_CALL_TIME, LEASE_LENGTH};
+use latchwheel_core::leasing::{LeaseRequester, Leasing, ABANDONED_REPORT_TIME, LEASE_CALL_TIMEOUT, LEASE_LENGTH};
 use latchwheel_core::time::Instant;
 use latchwheel_protocol::v1::command::Body;
 use latchwheel_protocol::v1::{Command, HeldChunk, JobRecord, StartItems};
@@ -40,7 +40,7 @@
 fn reaches_new_leader(election: Duration, phase: Duration) -> Duration {
     let mut at = phase;
     loop {
-        at += LEASE_CALL_TIME;
+        at += LEASE_CALL_TIMEOUT;
         // The others are asked in the same round.
         if at >= election {
             return at;
@@ -158,7 +158,7 @@
     let start = Instant::default();
     assert_eq!(granted(&mut leasing, start, LOST, &state), all_items());
     commit_start(&mut state, LOST);
-    let told_at = start + LEASE_CALL_TIME + ROUND_PAUSE;
+    let told_at = start + LEASE_CALL_TIMEOUT + ROUND_PAUSE;
     // Only its holder can say so.
     leasing.reclaim(told_at, OTHER, &[LOST.request], &state);
     assert_eq!(granted(&mut leasing, told_at, OF_OTHER, &state), none());
--- a/crates/core/tests/listing_pause.rs
+++ b/crates/core/tests/listing_pause.rs
@@ -1,6 +1,6 @@
 //! Time for which results of a batch job are collected before they are listed.
 
-use latchwheel_core::listing_pause::{listing_pause, CLOSE_TO_DUE};
+use latchwheel_core::listing_pause::{listing_pause, PAUSE_NEAR_DUE};
 use std::time::Duration;
 
 const DUE: Duration = Duration::from_secs(18);
@@ -22,8 +22,8 @@
     for age in (0..17_900).step_by(50) {
         assert!(Duration::from_millis(age) + at(age) <= DUE, "at {age} ms");
     }
-    assert_eq!(at(17_900), CLOSE_TO_DUE);
-    assert_eq!(at(18_500), CLOSE_TO_DUE);
+    assert_eq!(at(17_900), PAUSE_NEAR_DUE);
+    assert_eq!(at(18_500), PAUSE_NEAR_DUE);
 }
 
 #[test]
--- a/crates/core/tests/pending_cancellations.rs
+++ b/crates/core/tests/pending_cancellations.rs
@@ -27,7 +27,7 @@
     }
     let mut tried = Vec::new();
     for _ in 0..4 {
-        let end = owed.next_end().unwrap();
+        let end = owed.next_cancellation().unwrap();
         tried.push(end.job.clone());
         assert_eq!(owed.note_failed(START, end), None);
     }
@@ -38,10 +38,10 @@
 fn an_end_is_given_up_after_its_time() {
     let mut owed = PendingCancellations::default();
     owed.push(START, "job-1", None);
-    let end = owed.next_end().unwrap();
+    let end = owed.next_cancellation().unwrap();
     let just_before = START + MAX_RETRY_TIME - Duration::from_millis(1);
     assert_eq!(owed.note_failed(just_before, end), None);
-    let end = owed.next_end().unwrap();
+    let end = owed.next_cancellation().unwrap();
     let (given_up, reason) = owed.note_failed(START + MAX_RETRY_TIME, end).unwrap();
     assert_eq!((given_up.job.as_str(), reason), ("job-1", GiveUpReason::TooOld));
     assert!(owed.is_empty());
@@ -66,11 +66,11 @@
     owed.push(START, "job-1", None);
     let mut pauses = Vec::new();
     for _ in 0..5 {
-        pauses.push(owed.pause().as_millis());
-        let end = owed.next_end().unwrap();
+        pauses.push(owed.backoff().as_millis());
+        let end = owed.next_cancellation().unwrap();
         owed.note_failed(START, end);
     }
     assert_eq!(pauses, [60, 120, 240, 480, 480]);
     owed.note_settled();
-    assert_eq!(owed.pause(), Duration::ZERO);
+    assert_eq!(owed.backoff(), Duration::ZERO);
 }
--- a/crates/core/tests/simulation/actions.rs
+++ b/crates/core/tests/simulation/actions.rs
@@ -274,7 +274,7 @@
         }
         Some(Body::CompleteItems(completed)) => {
             let positions: Vec<u64> = completed.results.iter().map(|result| result.position).collect();
-            leasing.completed(&completed.job, &positions);
+            leasing.note_completed(&completed.job, &positions);
             if let Some(job) = state.job(&completed.job).filter(|job| job.has_ended()) {
                 leasing.close_job(job);
             }
--- a/crates/core/tests/simulation/machine.rs
+++ b/crates/core/tests/simulation/machine.rs
@@ -272,7 +272,7 @@
         };
         for returned in &body.returned {
             if let Some(job) = running.state.job(&returned.job) {
-                leasing.returned(node_of(holder), returned, job);
+                leasing.return_items(node_of(holder), returned, job);
             }
         }
         if body.completions.is_empty() {
--- a/crates/jobs/src/asked_ends.rs
+++ b/crates/jobs/src/asked_ends.rs
@@ -126,8 +126,8 @@
     /// starts the work anew.
     fn next(&self) -> Option<(PendingCancellation, Duration)> {
         let mut waiting = self.lock();
-        let pause = waiting.ends.pause();
-        let next = waiting.ends.next_end();
+        let pause = waiting.ends.backoff();
+        let next = waiting.ends.next_cancellation();
         waiting.is_worked_on = next.is_some();
         next.map(|end| (end, pause))
     }
--- a/crates/jobs/src/item_starts.rs
+++ b/crates/jobs/src/item_starts.rs
@@ -9,8 +9,8 @@
 use futures::FutureExt;
 use latchwheel_core::dispatch::{Choice, Placement, PlacementQuery, Prompt};
 use latchwheel_core::item_progress::{GiveUpRules, ItemProgress, RunEnd};
-use latchwheel_core::item_urgency::{start_list, RemainingTime, StartPlan};
-use latchwheel_core::listing_pause::CLOSE_TO_DUE;
+use latchwheel_core::item_urgency::{plan_starts, RemainingTime, StartPlan};
+use latchwheel_core::listing_pause::PAUSE_NEAR_DUE;
 use latchwheel_core::routes::Route;
 use latchwheel_core::time::Instant;
 use latchwheel_events::{emit, Event, ItemEnd};
@@ -135,11 +135,11 @@
     fn items_to_start(&self, now: Instant, route: &Route) -> StartPlan {
         let times = self.context.run_times(route);
         let time_until_due = route.due.saturating_sub(self.age());
-        let left = RemainingTime { time_until_due, listing: CLOSE_TO_DUE };
+        let left = RemainingTime { time_until_due, listing: PAUSE_NEAR_DUE };
         let may_start = |position: &usize| self.progress[*position].may_start(now);
         let waiting = (0..self.items.len()).filter(may_start);
         let with_events = waiting.map(|position| (position, self.progress[position].events()));
-        start_list(&times, with_events.collect(), left)
+        plan_starts(&times, with_events.collect(), left)
     }
 
     /// Starts an item; `false` if no server has room.
@@ -175,7 +175,7 @@
             overdue: rank.late,
             due_ms: rank.due_ms,
             expected_end: now + self.context.run_times(route).remaining(self.progress[position].events()),
-            preempted_before: self.progress[position].begun().is_some(),
+            preempted_before: self.progress[position].first_run().is_some(),
         };
         self.progress[position].note_run_started(now);
         self.progress[position].start();
--- a/crates/jobs/src/job_listing.rs
+++ b/crates/jobs/src/job_listing.rs
@@ -11,7 +11,7 @@
 use futures::future::BoxFuture;
 use futures::FutureExt;
 use latchwheel_core::item_progress::ItemState;
-use latchwheel_core::listing_pause::{listing_pause, SHORTEST};
+use latchwheel_core::listing_pause::{listing_pause, MIN_PAUSE};
 use latchwheel_core::retry::exponential_backoff;
 use latchwheel_core::time::Instant;
 use latchwheel_events::{emit, Event};
@@ -65,7 +65,7 @@
     /// Time for which results are collected.
     fn list_pause(&self) -> Duration {
         let (_, route) = self.rules();
-        route.map_or(SHORTEST, |route| listing_pause(self.age(), route.due))
+        route.map_or(MIN_PAUSE, |route| listing_pause(self.age(), route.due))
     }
 
     /// Lists what is ready before the job goes to another worker, which lists nothing for
--- a/crates/jobs/src/job_run.rs
+++ b/crates/jobs/src/job_run.rs
@@ -338,7 +338,7 @@
             if let Some(route) = route.filter(|_| end == RunEnd::Completed) {
                 let last_run_events = progress.events().saturating_sub(run.events_before);
                 self.context.note_completed(&route, progress.events(), last_run_events, now.since(run.started_at));
-                if let Some(begun) = progress.begun() {
+                if let Some(begun) = progress.first_run() {
                     let events = progress.events().saturating_sub(begun.events);
                     self.context.note_elapsed(&route, events, now.since(begun.at));
                 }
--- a/crates/node/src/store_calls.rs
+++ b/crates/node/src/store_calls.rs
@@ -7,7 +7,7 @@
 use latchwheel_core::code::ResultCode;
 use latchwheel_core::identity::{stable_hash, NodeId};
 use latchwheel_core::jobs::{position_of_key, StateKey, StateTable};
-use latchwheel_core::leasing::LEASE_CALL_TIME;
+use latchwheel_core::leasing::LEASE_CALL_TIMEOUT;
 use latchwheel_http::CallFault;
 use latchwheel_protocol::v1::{
     Command, CompleteAnswer, CompleteRequest, Item, ItemResult, LeaseAnswer, LeaseRequest, Outcome, ProposeAnswer,
@@ -115,7 +115,7 @@
 impl GroupCall for LeaseRequest {
     type Answer = LeaseAnswer;
     const CALL: PeerCall = PeerCall::Lease;
-    const TIME: Duration = LEASE_CALL_TIME;
+    const TIME: Duration = LEASE_CALL_TIMEOUT;
 
     fn group(&self) -> u64 {
         self.group
--- a/crates/proxy/src/caller.rs
+++ b/crates/proxy/src/caller.rs
@@ -47,7 +47,7 @@
 
     /// A source has told what the table is now.
     pub fn note_keys_told(&self) {
-        self.key_life().note_told();
+        self.key_life().note_received();
     }
 
     /// Whether keys are accepted: not those of a table that was confirmed too long ago.
--- a/crates/store/src/group/runner.rs
+++ b/crates/store/src/group/runner.rs
@@ -245,7 +245,7 @@
         };
         for returned in &request.returned {
             if let Some(job) = self.state.job(&returned.job) {
-                desk.leasing.returned(NodeId(request.node), returned, job);
+                desk.leasing.return_items(NodeId(request.node), returned, job);
             }
         }
         let at_seconds = wall_seconds();
--- a/crates/store/src/lease_desk.rs
+++ b/crates/store/src/lease_desk.rs
@@ -138,7 +138,7 @@
             }
             Some(Body::CompleteItems(completed)) => {
                 let positions: Vec<u64> = completed.results.iter().map(|result| result.position).collect();
-                self.leasing.completed(&completed.job, &positions);
+                self.leasing.note_completed(&completed.job, &positions);
                 if let Some(job) = state.job(&completed.job).filter(|job| job.has_ended()) {
                     self.leasing.close_job(job);
                 }
