--- a/crates/core/src/abandoned_requests.rs
+++ b/crates/core/src/abandoned_requests.rs
@@ -11,20 +11,20 @@
 /// The requests of one holder that it has given up.
 #[derive(Debug, Default)]
 pub struct AbandonedRequests {
-    until: BTreeMap<u64, Instant>,
+    report_until: BTreeMap<u64, Instant>,
 }
 
 impl AbandonedRequests {
     /// These requests were given up now or before.
     pub fn note(&mut self, now: Instant, requests: &[u64]) {
         for request in requests {
-            self.until.entry(*request).or_insert(now + ABANDONED_REPORT_TIME);
+            self.report_until.entry(*request).or_insert(now + ABANDONED_REPORT_TIME);
         }
     }
 
     /// The requests to tell.
     pub fn to_report(&mut self, now: Instant) -> Vec<u64> {
-        self.until.retain(|_, until| *until > now);
-        self.until.keys().copied().collect()
+        self.report_until.retain(|_, report_until| *report_until > now);
+        self.report_until.keys().copied().collect()
     }
 }
--- a/crates/core/src/item_progress.rs
+++ b/crates/core/src/item_progress.rs
@@ -12,11 +12,11 @@
 use std::time::Duration;
 
 /// Pause after the first failed run of an item; doubled at each further one.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-const LONGEST_PAUSE: Duration = Duration::from_secs(3);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_BACKOFF: Duration = Duration::from_secs(3);
 /// An item is given up after this multiple of the failures that its route allows, even
 /// if all were at one server. Clients tolerate at most three times the allowed failures.
-const MOST_FAILURES_FACTOR: u32 = 2;
+const MAX_FAILURES_FACTOR: u32 = 2;
 
 /// How a run of an item ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -200,12 +200,12 @@
                 if !self.failed_at.contains(server) {
                     self.failed_at.push(server.clone());
                 }
-                self.wait_or_give_up(now, self.has_failed_for_good(rules), rules, self.pause());
+                self.wait_or_give_up(now, self.has_failed_for_good(rules), rules, self.backoff());
             }
             RunEnd::Preempted => self.wait_or_give_up(now, false, rules, Duration::ZERO),
             RunEnd::Interrupted => {
                 self.interruptions += 1;
-                self.wait_or_give_up(now, false, rules, self.pause());
+                self.wait_or_give_up(now, false, rules, self.backoff());
             }
         }
     }
@@ -220,22 +220,22 @@
     }
 
     fn has_failed_for_good(&self, rules: &GiveUpRules) -> bool {
-        let different = (rules.max_failures as usize).min(rules.servers.max(1));
-        let often = self.failures >= rules.max_failures && self.failed_at.len() >= different;
-        often || self.failures >= rules.max_failures.saturating_mul(MOST_FAILURES_FACTOR)
+        let required_servers = (rules.max_failures as usize).min(rules.servers.max(1));
+        let at_enough_servers = self.failures >= rules.max_failures && self.failed_at.len() >= required_servers;
+        at_enough_servers || self.failures >= rules.max_failures.saturating_mul(MAX_FAILURES_FACTOR)
     }
 
     /// Pause after a failed run.
-    fn pause(&self) -> Duration {
-        let tries = (self.failures + self.interruptions).saturating_sub(1);
-        exponential_backoff(FIRST_PAUSE, LONGEST_PAUSE, tries)
+    fn backoff(&self) -> Duration {
+        let failed_runs = (self.failures + self.interruptions).saturating_sub(1);
+        exponential_backoff(INITIAL_BACKOFF, MAX_BACKOFF, failed_runs)
     }
 
-    fn wait_or_give_up(&mut self, now: Instant, failed_for_good: bool, rules: &GiveUpRules, pause: Duration) {
+    fn wait_or_give_up(&mut self, now: Instant, failed_for_good: bool, rules: &GiveUpRules, backoff: Duration) {
         if failed_for_good || now >= rules.expires {
             self.state = ItemState::GivenUp;
             return;
         }
-        self.state = ItemState::Waiting(now + pause);
+        self.state = ItemState::Waiting(now + backoff);
     }
 }
--- a/crates/core/src/item_urgency.rs
+++ b/crates/core/src/item_urgency.rs
@@ -32,24 +32,24 @@
 /// Whether an item that has kept `events` can be in time if it starts now. What was
 /// begun is given up late: little of its work is left, and the rest would be lost to
 /// its due time.
-pub fn can_meet_due_time(times: &RunTimes, events: u64, left: RemainingTime) -> bool {
-    let run = left.time_until_due.saturating_sub(left.listing);
-    if run.is_zero() {
+pub fn can_meet_due_time(times: &RunTimes, events: u64, remaining_time: RemainingTime) -> bool {
+    let run_time = remaining_time.time_until_due.saturating_sub(remaining_time.listing);
+    if run_time.is_zero() {
         return false;
     }
     if events > 0 {
-        return times.remaining(events) <= run;
+        return times.remaining(events) <= run_time;
     }
-    times.remaining_with_waits(0) <= run
+    times.remaining_with_waits(0) <= run_time
 }
 
 /// Of items that may start, given by position and kept events, those that can be in
 /// time, or all if none can. What needs least goes first.
-pub fn plan_starts(times: &RunTimes, waiting: Vec<(usize, u64)>, left: RemainingTime) -> StartPlan {
-    let in_time = |item: &&(usize, u64)| can_meet_due_time(times, item.1, left);
-    let timely: Vec<(usize, u64)> = waiting.iter().filter(in_time).copied().collect();
-    let overdue = timely.is_empty();
-    let mut chosen = if overdue { waiting } else { timely };
+pub fn plan_starts(times: &RunTimes, waiting: Vec<(usize, u64)>, remaining_time: RemainingTime) -> StartPlan {
+    let meets_due_time = |item: &&(usize, u64)| can_meet_due_time(times, item.1, remaining_time);
+    let in_time_items: Vec<(usize, u64)> = waiting.iter().filter(meets_due_time).copied().collect();
+    let overdue = in_time_items.is_empty();
+    let mut chosen = if overdue { waiting } else { in_time_items };
     chosen.sort_by_key(|(_, events)| std::cmp::Reverse(*events));
     let positions = chosen.into_iter().map(|(position, _)| position).collect();
     StartPlan { positions, overdue }
--- a/crates/core/src/key_acceptance.rs
+++ b/crates/core/src/key_acceptance.rs
@@ -12,22 +12,22 @@
 #[derive(Clone, Copy, Debug, Default)]
 pub struct KeyAcceptance {
     /// `None` for the keys that a source told this process.
-    until: Option<Instant>,
+    accepted_until: Option<Instant>,
 }
 
 impl KeyAcceptance {
     /// The table was kept on a disk; the store confirmed it so long ago.
     pub fn note_snapshot_used(&mut self, now: Instant, age: Duration) {
-        self.until = Some(now + MAX_SNAPSHOT_AGE.saturating_sub(age));
+        self.accepted_until = Some(now + MAX_SNAPSHOT_AGE.saturating_sub(age));
     }
 
     /// A source has told what the table is now.
     pub fn note_received(&mut self) {
-        self.until = None;
+        self.accepted_until = None;
     }
 
     /// Whether keys are accepted.
     pub fn accepts(&self, now: Instant) -> bool {
-        self.until.is_none_or(|until| now < until)
+        self.accepted_until.is_none_or(|accepted_until| now < accepted_until)
     }
 }
--- a/crates/core/src/leasing.rs
+++ b/crates/core/src/leasing.rs
@@ -32,7 +32,7 @@
 /// A holder that renewed within this time is not gone, whatever other nodes say: it
 /// renews each 750 ms. A node that was cut off tells, once it is heard again, that all
 /// others are gone.
-const HEARD_TIME: Duration = Duration::from_secs(1);
+const CONTACT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Time for which a holder tells, and a leader remembers, that a request was given up:
 /// more than a group is without a leader in an election that is repeated several times
 /// (2.4 s each), and than a message may be under way (6 s).
@@ -83,13 +83,13 @@
     request: u64,
     job: String,
     positions: BTreeSet<u64>,
-    until: Instant,
+    expires_at: Instant,
 }
 
 impl Lease {
     /// Whether its holder could have renewed it since, and did not.
-    fn is_silent(&self, now: Instant) -> bool {
-        now + LEASE_LENGTH >= self.until + HEARD_TIME
+    fn has_missed_renewal(&self, now: Instant) -> bool {
+        now + LEASE_LENGTH >= self.expires_at + CONTACT_TIMEOUT
     }
 }
 
@@ -110,9 +110,9 @@
     /// Jobs with items to grant, per row, by deadline.
     open: BTreeMap<String, BTreeSet<(u64, String)>>,
     /// Requests whose answer no holder takes any more, and until when that is remembered.
-    unanswered: HashMap<u64, Instant>,
+    abandoned: HashMap<u64, Instant>,
     /// Whether all that earlier leaders committed is known here.
-    is_settled: bool,
+    has_applied_own_term: bool,
 }
 
 impl Leasing {
@@ -126,8 +126,8 @@
             held: HeldPositions::default(),
             cursors: HashMap::new(),
             open: BTreeMap::new(),
-            unanswered: HashMap::new(),
-            is_settled: false,
+            abandoned: HashMap::new(),
+            has_applied_own_term: false,
         };
         for job in state.jobs().filter(|job| !job.has_ended()) {
             leasing.open_job(job);
@@ -169,38 +169,38 @@
     }
 
     fn renew_chunk(&mut self, now: Instant, node: NodeId, chunk: &HeldChunk, job: &Job) {
-        let until = now + LEASE_LENGTH;
+        let expires_at = now + LEASE_LENGTH;
         if let Some(lease) = self.leases.get_mut(&chunk.lease) {
-            lease.until = until;
+            lease.expires_at = expires_at;
             return;
         }
         let positions: BTreeSet<u64> =
             chunk.positions.iter().copied().filter(|position| !job.done.get(*position)).collect();
         if now < self.granting_from && !positions.is_empty() {
             self.held.hold(&chunk.job, positions.iter().copied());
-            self.leases.insert(chunk.lease, Lease { node, request: 0, job: chunk.job.clone(), positions, until });
+            self.leases.insert(chunk.lease, Lease { node, request: 0, job: chunk.job.clone(), positions, expires_at });
         }
     }
 
     /// An entry of this leader's own term is applied, and so all entries before it.
     pub fn note_own_term_applied(&mut self) {
-        self.is_settled = true;
+        self.has_applied_own_term = true;
     }
 
     /// A holder takes no answer to these requests any more: what was granted to them
     /// has not run.
-    pub fn reclaim(&mut self, now: Instant, node: NodeId, unanswered: &[u64], state: &JobState) {
-        for request in unanswered {
-            self.unanswered.insert(*request, now + ABANDONED_REPORT_TIME);
+    pub fn reclaim(&mut self, now: Instant, node: NodeId, abandoned: &[u64], state: &JobState) {
+        for request in abandoned {
+            self.abandoned.insert(*request, now + ABANDONED_REPORT_TIME);
         }
-        let is_lost = |lease: &Lease| lease.request != 0 && lease.node == node && unanswered.contains(&lease.request);
+        let is_lost = |lease: &Lease| lease.request != 0 && lease.node == node && abandoned.contains(&lease.request);
         let lost: Vec<u64> = self.leases.iter().filter(|(_, lease)| is_lost(lease)).map(|(id, _)| *id).collect();
         for id in lost {
             let Some(lease) = self.leases.remove(&id) else { continue };
             let positions: Vec<u64> = lease.positions.into_iter().collect();
             self.held.release(&lease.job, &positions);
             if let Some(job) = state.job(&lease.job) {
-                self.grant_again(job, &positions);
+                self.make_available(job, &positions);
             }
         }
     }
@@ -210,23 +210,23 @@
     pub fn grant_shared(
         &mut self,
         now: Instant,
-        asker: LeaseRequester,
+        requester: LeaseRequester,
         rows: &[RowWeight<'_>],
-        room: usize,
+        max_items: usize,
         state: &JobState,
     ) -> Vec<Grant> {
         let weights: f64 = rows.iter().map(|row| row.weight).sum();
-        let mut left = room;
+        let mut remaining = max_items;
         let mut grants = Vec::new();
         for row in rows {
-            let share = (room as f64 * row.weight / weights).ceil() as usize;
-            let granted = self.grant(now, asker, row.row, share.min(left), state);
-            left -= granted.iter().map(|grant| grant.positions.len()).sum::<usize>();
+            let share = (max_items as f64 * row.weight / weights).ceil() as usize;
+            let granted = self.grant(now, requester, row.row, share.min(remaining), state);
+            remaining -= granted.iter().map(|grant| grant.positions.len()).sum::<usize>();
             grants.extend(granted);
         }
         for row in rows {
-            let granted = self.grant(now, asker, row.row, left, state);
-            left -= granted.iter().map(|grant| grant.positions.len()).sum::<usize>();
+            let granted = self.grant(now, requester, row.row, remaining, state);
+            remaining -= granted.iter().map(|grant| grant.positions.len()).sum::<usize>();
             grants.extend(granted);
         }
         grants
@@ -243,31 +243,31 @@
     pub fn grant(
         &mut self,
         now: Instant,
-        asker: LeaseRequester,
+        requester: LeaseRequester,
         row: &str,
-        room: usize,
+        max_items: usize,
         state: &JobState,
     ) -> Vec<Grant> {
         let mut grants = Vec::new();
-        if now < self.granting_from || room == 0 || self.unanswered.contains_key(&asker.request) {
+        if now < self.granting_from || max_items == 0 || self.abandoned.contains_key(&requester.request) {
             return grants;
         }
         let Some(open) = self.open.get_mut(row) else { return grants };
-        let mut left = room;
+        let mut remaining = max_items;
         let mut exhausted = Vec::new();
         for (deadline, name) in open.iter() {
-            if left == 0 {
+            if remaining == 0 {
                 break;
             }
             let (Some(job), Some(cursor)) = (state.job(name), self.cursors.get_mut(name)) else {
                 exhausted.push((*deadline, name.clone()));
                 continue;
             };
-            let positions = cursor.take(job, left, &self.held);
-            if positions.len() < left {
+            let positions = cursor.take(job, remaining, &self.held);
+            if positions.len() < remaining {
                 exhausted.push((*deadline, name.clone()));
             }
-            left -= positions.len();
+            remaining -= positions.len();
             for part in positions.chunks(CHUNK_ITEMS) {
                 self.next_lease += 1;
                 grants.push(Grant { lease: self.next_lease, job: name.clone(), positions: part.to_vec() });
@@ -279,8 +279,8 @@
         for grant in &grants {
             self.held.hold(&grant.job, grant.positions.iter().copied());
             let positions = grant.positions.iter().copied().collect();
-            let LeaseRequester { node, request } = asker;
-            let lease = Lease { node, request, job: grant.job.clone(), positions, until: now + LEASE_LENGTH };
+            let LeaseRequester { node, request } = requester;
+            let lease = Lease { node, request, job: grant.job.clone(), positions, expires_at: now + LEASE_LENGTH };
             self.leases.insert(grant.lease, lease);
         }
         grants
@@ -311,10 +311,10 @@
             self.leases.remove(&chunk.lease);
         }
         self.held.release(&chunk.job, &positions);
-        self.grant_again(job, &positions);
+        self.make_available(job, &positions);
     }
 
-    fn grant_again(&mut self, job: &Job, positions: &[u64]) {
+    fn make_available(&mut self, job: &Job, positions: &[u64]) {
         if job.has_ended() || positions.is_empty() {
             return;
         }
@@ -326,43 +326,43 @@
 
     /// Takes back what was not renewed, sooner from a node that is said to be gone.
     pub fn expire(&mut self, now: Instant, state: &JobState, is_present: impl Fn(NodeId) -> bool) -> Lapsed {
-        let over: Vec<u64> = self
+        let expired: Vec<u64> = self
             .leases
             .iter()
-            .filter(|(_, lease)| lease.until <= now || (lease.is_silent(now) && !is_present(lease.node)))
+            .filter(|(_, lease)| lease.expires_at <= now || (lease.has_missed_renewal(now) && !is_present(lease.node)))
             .map(|(id, _)| *id)
             .collect();
         let mut lapsed = Lapsed::default();
-        for id in over {
+        for id in expired {
             let Some(lease) = self.leases.remove(&id) else { continue };
             let positions: Vec<u64> = lease.positions.into_iter().collect();
             self.held.release(&lease.job, &positions);
             let Some(job) = state.job(&lease.job).filter(|job| !job.has_ended()) else { continue };
             if job.record.repeatable {
-                self.grant_again(job, &positions);
+                self.make_available(job, &positions);
             } else {
                 lapsed.unknown.push((lease.job, positions));
             }
         }
         if now >= self.granting_from {
-            lapsed.unknown.extend(self.settle_orphans(state));
+            lapsed.unknown.extend(self.resolve_orphans(state));
         }
-        self.unanswered.retain(|_, until| *until > now);
+        self.abandoned.retain(|_, expires_at| *expires_at > now);
         lapsed
     }
 
     /// Grants orphans again that never reached their holder; gives back the others.
-    fn settle_orphans(&mut self, state: &JobState) -> Vec<(String, Vec<u64>)> {
+    fn resolve_orphans(&mut self, state: &JobState) -> Vec<(String, Vec<u64>)> {
         let mut unknown = Vec::new();
         for (name, positions) in self.orphans(state) {
             let Some(job) = state.job(&name) else { continue };
-            let never_taken = |position: &u64| {
-                job.start_requests.get(position).is_some_and(|request| self.unanswered.contains_key(request))
+            let was_abandoned = |position: &u64| {
+                job.start_requests.get(position).is_some_and(|request| self.abandoned.contains_key(request))
             };
-            let (unrun, lost): (Vec<u64>, Vec<u64>) = positions.into_iter().partition(never_taken);
+            let (not_run, lost): (Vec<u64>, Vec<u64>) = positions.into_iter().partition(was_abandoned);
             // Until all is known, a later start may stand in the log, of a holder that runs it.
-            if self.is_settled {
-                self.grant_again(job, &unrun);
+            if self.has_applied_own_term {
+                self.make_available(job, &not_run);
             }
             if !lost.is_empty() {
                 unknown.push((name, lost));
@@ -377,13 +377,13 @@
         let mut orphans = Vec::new();
         for (name, cursor) in &self.cursors {
             let Some(job) = state.job(name).filter(|job| !job.record.repeatable) else { continue };
-            let nobody = |position: &u64| {
+            let is_orphan = |position: &u64| {
                 job.started.get(*position)
                     && !job.done.get(*position)
                     && !cursor.returned.contains(position)
                     && !self.held.contains(name, *position)
             };
-            let positions: Vec<u64> = (0..job.record.items).filter(nobody).collect();
+            let positions: Vec<u64> = (0..job.record.items).filter(is_orphan).collect();
             if !positions.is_empty() {
                 orphans.push((name.clone(), positions));
             }
@@ -435,10 +435,10 @@
     /// Takes up to so many items that are neither done, started nor held. An
     /// item that its holder gave back did not run, so its committed start
     /// stands for the next holder.
-    fn take(&mut self, job: &Job, most: usize, held: &HeldPositions) -> Vec<u64> {
+    fn take(&mut self, job: &Job, max_items: usize, held: &HeldPositions) -> Vec<u64> {
         let free = |position: u64| !job.done.get(position) && !held.contains(&job.record.job, position);
         let mut positions = Vec::new();
-        while positions.len() < most {
+        while positions.len() < max_items {
             let (position, may_be_started) = match self.returned.pop_front() {
                 Some(position) => (position, true),
                 None if self.next < job.record.items => {
--- a/crates/core/src/pending_cancellations.rs
+++ b/crates/core/src/pending_cancellations.rs
@@ -15,8 +15,8 @@
 pub const MAX_RETRY_TIME: Duration = Duration::from_secs(600);
 /// Pause after a try that failed, doubled at each failure in a row up to the longest:
 /// the same as between the tries for which a caller waits.
-const PAUSE: Duration = Duration::from_millis(60);
-const LONGEST_PAUSE: Duration = Duration::from_millis(480);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(60);
+const MAX_BACKOFF: Duration = Duration::from_millis(480);
 
 /// An end that a caller asked for.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     pub job: String,
     /// Tenant of the caller.
     pub caller: Option<String>,
-    until: Instant,
+    retry_until: Instant,
 }
 
 /// Why an end is tried no more.
@@ -53,7 +53,7 @@
 /// The ends that a node owes, but for the one that is being tried.
 #[derive(Debug, Default)]
 pub struct PendingCancellations {
-    ends: VecDeque<PendingCancellation>,
+    cancellations: VecDeque<PendingCancellation>,
     failures: u32,
 }
 
@@ -63,36 +63,44 @@
     pub fn push(&mut self, now: Instant, job: &str, caller: Option<&str>) -> Option<AbandonedCancellation> {
         // The caller's own tries have just failed.
         self.failures = self.failures.max(1);
-        if self.ends.iter().any(|end| end.job == job && end.caller.as_deref() == caller) {
+        if self
+            .cancellations
+            .iter()
+            .any(|cancellation| cancellation.job == job && cancellation.caller.as_deref() == caller)
+        {
             return None;
         }
-        let until = now + MAX_RETRY_TIME;
-        self.ends.push_back(PendingCancellation { job: job.to_owned(), caller: caller.map(str::to_owned), until });
-        if self.ends.len() <= MAX_PENDING_CANCELLATIONS {
+        let retry_until = now + MAX_RETRY_TIME;
+        self.cancellations.push_back(PendingCancellation {
+            job: job.to_owned(),
+            caller: caller.map(str::to_owned),
+            retry_until,
+        });
+        if self.cancellations.len() <= MAX_PENDING_CANCELLATIONS {
             return None;
         }
-        self.ends.pop_front().map(|end| (end, GiveUpReason::TooMany))
+        self.cancellations.pop_front().map(|cancellation| (cancellation, GiveUpReason::TooMany))
     }
 
     /// Ends that wait for a try.
     pub fn len(&self) -> usize {
-        self.ends.len()
+        self.cancellations.len()
     }
 
     /// Whether none waits for a try.
     pub fn is_empty(&self) -> bool {
-        self.ends.is_empty()
+        self.cancellations.is_empty()
     }
 
     /// The end to try next.
     pub fn next_cancellation(&mut self) -> Option<PendingCancellation> {
-        self.ends.pop_front()
+        self.cancellations.pop_front()
     }
 
     /// Pause before the next try.
     pub fn backoff(&self) -> Duration {
         match self.failures.checked_sub(1) {
-            Some(before) => exponential_backoff(PAUSE, LONGEST_PAUSE, before),
+            Some(earlier_failures) => exponential_backoff(INITIAL_BACKOFF, MAX_BACKOFF, earlier_failures),
             None => Duration::ZERO,
         }
     }
@@ -103,12 +111,12 @@
     }
 
     /// A try of an end has failed. Gives it back if it is tried no more.
-    pub fn note_failed(&mut self, now: Instant, end: PendingCancellation) -> Option<AbandonedCancellation> {
+    pub fn note_failed(&mut self, now: Instant, cancellation: PendingCancellation) -> Option<AbandonedCancellation> {
         self.failures = self.failures.saturating_add(1);
-        if now >= end.until {
-            return Some((end, GiveUpReason::TooOld));
+        if now >= cancellation.retry_until {
+            return Some((cancellation, GiveUpReason::TooOld));
         }
-        self.ends.push_back(end);
+        self.cancellations.push_back(cancellation);
         None
     }
 }
--- a/crates/core/tests/item_urgency.rs
+++ b/crates/core/tests/item_urgency.rs
@@ -8,12 +8,12 @@
 
 const EVENTS: u64 = 144;
 
-fn left(time_until_due: Duration) -> RemainingTime {
+fn remaining_time(time_until_due: Duration) -> RemainingTime {
     RemainingTime { time_until_due, listing: Duration::from_millis(100) }
 }
 
 /// Items run for 4 s, and are whole 6 s after their first start.
-fn measured() -> RunTimes {
+fn sample_times() -> RunTimes {
     let mut times = RunTimes::default();
     times.note_completed(EVENTS, EVENTS, Duration::from_secs(4));
     times.note_elapsed(EVENTS, Duration::from_secs(6));
@@ -22,35 +22,35 @@
 
 #[test]
 fn an_item_starts_only_with_time_for_the_waits_that_others_had() {
-    let times = measured();
-    assert!(!can_meet_due_time(&times, 0, left(Duration::from_secs(5))));
-    assert!(can_meet_due_time(&times, 0, left(Duration::from_secs(7))));
+    let times = sample_times();
+    assert!(!can_meet_due_time(&times, 0, remaining_time(Duration::from_secs(5))));
+    assert!(can_meet_due_time(&times, 0, remaining_time(Duration::from_secs(7))));
 }
 
 #[test]
 fn what_was_begun_is_given_up_only_where_its_run_alone_would_end_too_late() {
-    let times = measured();
-    assert!(can_meet_due_time(&times, EVENTS / 2, left(Duration::from_millis(2200))));
-    assert!(!can_meet_due_time(&times, EVENTS / 2, left(Duration::from_millis(1900))));
-    assert!(!can_meet_due_time(&times, EVENTS, left(Duration::ZERO)));
+    let times = sample_times();
+    assert!(can_meet_due_time(&times, EVENTS / 2, remaining_time(Duration::from_millis(2200))));
+    assert!(!can_meet_due_time(&times, EVENTS / 2, remaining_time(Duration::from_millis(1900))));
+    assert!(!can_meet_due_time(&times, EVENTS, remaining_time(Duration::ZERO)));
 }
 
 #[test]
 fn without_a_measurement_only_the_due_time_decides() {
     let times = RunTimes::default();
-    assert!(can_meet_due_time(&times, 0, left(Duration::from_secs(1))));
-    assert!(!can_meet_due_time(&times, 0, left(Duration::from_millis(50))));
+    assert!(can_meet_due_time(&times, 0, remaining_time(Duration::from_secs(1))));
+    assert!(!can_meet_due_time(&times, 0, remaining_time(Duration::from_millis(50))));
 }
 
 #[test]
 fn what_needs_least_goes_first_and_overdue_items_last() {
-    let times = measured();
+    let times = sample_times();
     let waiting = vec![(0, 0), (1, 100), (2, 0), (3, 40)];
-    let in_time = plan_starts(&times, waiting.clone(), left(Duration::from_secs(9)));
+    let in_time = plan_starts(&times, waiting.clone(), remaining_time(Duration::from_secs(9)));
     assert_eq!(in_time, StartPlan { positions: vec![1, 3, 0, 2], overdue: false });
-    let only_begun = plan_starts(&times, waiting.clone(), left(Duration::from_secs(4)));
-    assert_eq!(only_begun, StartPlan { positions: vec![1, 3], overdue: false });
-    let none = plan_starts(&times, waiting, left(Duration::ZERO));
+    let only_with_events = plan_starts(&times, waiting.clone(), remaining_time(Duration::from_secs(4)));
+    assert_eq!(only_with_events, StartPlan { positions: vec![1, 3], overdue: false });
+    let none = plan_starts(&times, waiting, remaining_time(Duration::ZERO));
     assert_eq!(none, StartPlan { positions: vec![1, 3, 0, 2], overdue: true });
 }
 
@@ -68,10 +68,10 @@
 const ITEMS: usize = 10;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Standing {
-    Waits,
-    Runs { since: f64, events_before: u64 },
-    Whole { at: f64 },
+enum ItemState {
+    Waiting,
+    Running { since: f64, events_before: u64 },
+    Completed { at: f64 },
 }
 
 #[derive(Clone, Debug)]
@@ -80,7 +80,7 @@
     length: f64,
     done: f64,
     first_start: Option<f64>,
-    standing: Standing,
+    state: ItemState,
 }
 
 impl Item {
@@ -93,11 +93,11 @@
 type Rule = fn(&RunTimes, Vec<(usize, u64)>, RemainingTime) -> StartPlan;
 
 /// Items start as long as an undisturbed run is in time.
-fn by_due_time_alone(times: &RunTimes, waiting: Vec<(usize, u64)>, left: RemainingTime) -> StartPlan {
-    let in_time = |item: &&(usize, u64)| times.remaining(item.1) <= left.time_until_due;
-    let timely: Vec<usize> = waiting.iter().filter(in_time).map(|item| item.0).collect();
-    let overdue = timely.is_empty() || left.time_until_due.is_zero();
-    let positions = if overdue { waiting.into_iter().map(|item| item.0).collect() } else { timely };
+fn by_due_time_order(times: &RunTimes, waiting: Vec<(usize, u64)>, remaining_time: RemainingTime) -> StartPlan {
+    let in_time = |item: &&(usize, u64)| times.remaining(item.1) <= remaining_time.time_until_due;
+    let in_time_items: Vec<usize> = waiting.iter().filter(in_time).map(|item| item.0).collect();
+    let overdue = in_time_items.is_empty() || remaining_time.time_until_due.is_zero();
+    let positions = if overdue { waiting.into_iter().map(|item| item.0).collect() } else { in_time_items };
     StartPlan { positions, overdue }
 }
 
@@ -117,9 +117,9 @@
     }
 
     fn running(&self) -> Vec<(usize, usize)> {
-        let runs = |item: &Item| matches!(item.standing, Standing::Runs { .. });
+        let is_running = |item: &Item| matches!(item.state, ItemState::Running { .. });
         let of_job = |(number, job): (usize, &Vec<Item>)| {
-            let positions: Vec<usize> = (0..job.len()).filter(|position| runs(&job[*position])).collect();
+            let positions: Vec<usize> = (0..job.len()).filter(|position| is_running(&job[*position])).collect();
             positions.into_iter().map(move |position| (number, position))
         };
         self.jobs.iter().enumerate().flat_map(of_job).collect()
@@ -132,7 +132,7 @@
                 length: RUN_SECONDS * random.random_range(0.6..1.4),
                 done: 0.0,
                 first_start: None,
-                standing: Standing::Waits,
+                state: ItemState::Waiting,
             };
             let items = (0..ITEMS).map(|_| item(random)).collect();
             self.jobs.push(items);
@@ -145,30 +145,30 @@
         for (job, position) in &running {
             let item = &mut self.jobs[*job][*position];
             item.done += STEP;
-            let Standing::Runs { since, events_before } = item.standing else { continue };
+            let ItemState::Running { since, events_before } = item.state else { continue };
             if item.done < item.length {
                 continue;
             }
-            item.standing = Standing::Whole { at: self.now };
+            item.state = ItemState::Completed { at: self.now };
             let of_run = item.events().saturating_sub(events_before);
             self.times.note_completed(item.events(), of_run, Duration::from_secs_f64(self.now - since));
             let elapsed = self.now - item.first_start.unwrap_or(since);
             self.times.note_elapsed(item.events(), Duration::from_secs_f64(elapsed));
         }
-        running.retain(|(job, position)| !matches!(self.jobs[*job][*position].standing, Standing::Whole { .. }));
+        running.retain(|(job, position)| !matches!(self.jobs[*job][*position].state, ItemState::Completed { .. }));
         let excess = running.len().saturating_sub(self.slots());
         for (job, position) in running.into_iter().rev().take(excess) {
-            self.jobs[job][position].standing = Standing::Waits;
+            self.jobs[job][position].state = ItemState::Waiting;
         }
     }
 
     fn start(&mut self, rule: Rule) {
         let mut order: Vec<(bool, usize, Vec<usize>)> = Vec::new();
         for (number, job) in self.jobs.iter().enumerate() {
-            let waits = |position: &usize| job[*position].standing == Standing::Waits;
-            let waiting = (0..job.len()).filter(waits).map(|position| (position, job[position].events()));
+            let is_waiting = |position: &usize| job[*position].state == ItemState::Waiting;
+            let waiting = (0..job.len()).filter(is_waiting).map(|position| (position, job[position].events()));
             let time_until_due = (job[0].job_at + DUE_SECONDS - self.now).max(0.0);
-            let list = rule(&self.times, waiting.collect(), left(Duration::from_secs_f64(time_until_due)));
+            let list = rule(&self.times, waiting.collect(), remaining_time(Duration::from_secs_f64(time_until_due)));
             order.push((list.overdue, number, list.positions));
         }
         order.sort();
@@ -176,13 +176,13 @@
         let items = order.into_iter().flat_map(|(_, job, items)| items.into_iter().map(move |item| (job, item)));
         for (job, position) in items.take(free) {
             let item = &mut self.jobs[job][position];
-            item.standing = Standing::Runs { since: self.now, events_before: item.events() };
+            item.state = ItemState::Running { since: self.now, events_before: item.events() };
             item.first_start.get_or_insert(self.now);
         }
     }
 
     /// Items in time, and all.
-    fn play(seed: u64, rule: Rule) -> (usize, usize) {
+    fn simulate(seed: u64, rule: Rule) -> (usize, usize) {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut load = Self { now: 0.0, times: RunTimes::default(), jobs: Vec::new() };
         while load.now < LOAD_SECONDS + DUE_SECONDS {
@@ -193,7 +193,7 @@
         }
         let items: Vec<&Item> = load.jobs.iter().flatten().collect();
         let in_time =
-            |item: &&&Item| matches!(item.standing, Standing::Whole { at } if at <= item.job_at + DUE_SECONDS);
+            |item: &&&Item| matches!(item.state, ItemState::Completed { at } if at <= item.job_at + DUE_SECONDS);
         (items.iter().filter(in_time).count(), items.len())
     }
 }
@@ -202,8 +202,8 @@
 fn where_peaks_take_the_slots_more_items_are_in_time_than_by_due_times_alone() {
     let (mut before, mut after, mut all) = (0, 0, 0);
     for seed in 0..5 {
-        let (in_time, items) = Load::play(seed, plan_starts);
-        let by_due_time = Load::play(seed, by_due_time_alone).0;
+        let (in_time, items) = Load::simulate(seed, plan_starts);
+        let by_due_time = Load::simulate(seed, by_due_time_order).0;
         assert!(in_time > by_due_time, "seed {seed}: {by_due_time} {in_time} of {items}");
         after += in_time;
         all += items;
--- a/crates/core/tests/leasing.rs
+++ b/crates/core/tests/leasing.rs
@@ -36,9 +36,9 @@
 }
 
 /// When a holder that asks the silent leader first reaches the one that is elected
-/// `election` after the silence began; its first call leaves `phase` after that.
-fn reaches_new_leader(election: Duration, phase: Duration) -> Duration {
-    let mut at = phase;
+/// `election` after the silence began; its first call leaves `first_call` after that.
+fn contact_with_new_leader(election: Duration, first_call: Duration) -> Duration {
+    let mut at = first_call;
     loop {
         at += LEASE_CALL_TIMEOUT;
         // The others are asked in the same round.
@@ -53,23 +53,23 @@
 fn items_outlast_a_leader_that_falls_silent() {
     let state = started_job();
     for election in ELECTION_MILLISECONDS.step_by(100).map(Duration::from_millis) {
-        for phase in (0..20).map(|step| STEP * step) {
-            let silent_from = Instant::default();
-            let mut leasing = Leasing::new(silent_from + election, 2, &state);
-            let told_at = silent_from + reaches_new_leader(election, phase);
-            let mut now = silent_from + election;
-            let mut told = false;
-            let end = silent_from + election + Duration::from_secs(5);
+        for first_call in (0..20).map(|step| STEP * step) {
+            let failed_at = Instant::default();
+            let mut leasing = Leasing::new(failed_at + election, 2, &state);
+            let reported_at = failed_at + contact_with_new_leader(election, first_call);
+            let mut now = failed_at + election;
+            let mut reported = false;
+            let end = failed_at + election + Duration::from_secs(5);
             while now < end {
                 let lapsed = leasing.expire(now, &state, |_| true);
-                assert!(lapsed.unknown.is_empty(), "items lost: election {election:?}, call at {phase:?}");
+                assert!(lapsed.unknown.is_empty(), "items lost: election {election:?}, call at {first_call:?}");
                 // The holder renews its lease at each round from then on.
-                if now >= told_at {
-                    let positions = if told { Vec::new() } else { (0..ITEMS).collect() };
+                if now >= reported_at {
+                    let positions = if reported { Vec::new() } else { (0..ITEMS).collect() };
                     let held = HeldChunk { lease: FORMER_LEASE, job: JOB.into(), positions };
                     let stop = leasing.renew(now, HOLDER, &[held], &state);
                     assert!(stop.is_empty());
-                    told = true;
+                    reported = true;
                 }
                 now = now + STEP;
             }
@@ -107,9 +107,9 @@
 // store's disk showed it: the failed items are those that were granted in the delay.
 
 const OTHER: NodeId = NodeId(8);
-const LOST: LeaseRequester = LeaseRequester { node: HOLDER, request: 11 };
+const ABANDONED: LeaseRequester = LeaseRequester { node: HOLDER, request: 11 };
 const NEXT: LeaseRequester = LeaseRequester { node: HOLDER, request: 12 };
-const OF_OTHER: LeaseRequester = LeaseRequester { node: OTHER, request: 21 };
+const BY_OTHER: LeaseRequester = LeaseRequester { node: OTHER, request: 21 };
 
 /// A job none of whose items has started.
 fn new_job() -> JobState {
@@ -127,14 +127,14 @@
     leasing
 }
 
-fn commit_start(state: &mut JobState, asker: LeaseRequester) {
+fn commit_start(state: &mut JobState, requester: LeaseRequester) {
     let positions = (0..ITEMS).collect();
-    let start = StartItems { job: JOB.into(), positions, holder: asker.node.0, request: asker.request };
+    let start = StartItems { job: JOB.into(), positions, holder: requester.node.0, request: requester.request };
     state.apply(Command { body: Some(Body::StartItems(start)) });
 }
 
-fn granted(leasing: &mut Leasing, now: Instant, asker: LeaseRequester, state: &JobState) -> BTreeSet<u64> {
-    let grants = leasing.grant(now, asker, "bulk", ITEMS as usize, state);
+fn granted(leasing: &mut Leasing, now: Instant, requester: LeaseRequester, state: &JobState) -> BTreeSet<u64> {
+    let grants = leasing.grant(now, requester, "bulk", ITEMS as usize, state);
     grants.into_iter().flat_map(|grant| grant.positions).collect()
 }
 
@@ -156,18 +156,18 @@
     let mut state = new_job();
     let mut leasing = leader_of(&state);
     let start = Instant::default();
-    assert_eq!(granted(&mut leasing, start, LOST, &state), all_items());
-    commit_start(&mut state, LOST);
-    let told_at = start + LEASE_CALL_TIMEOUT + ROUND_PAUSE;
+    assert_eq!(granted(&mut leasing, start, ABANDONED, &state), all_items());
+    commit_start(&mut state, ABANDONED);
+    let reported_at = start + LEASE_CALL_TIMEOUT + ROUND_PAUSE;
     // Only its holder can say so.
-    leasing.reclaim(told_at, OTHER, &[LOST.request], &state);
-    assert_eq!(granted(&mut leasing, told_at, OF_OTHER, &state), none());
-    leasing.reclaim(told_at, HOLDER, &[LOST.request], &state);
+    leasing.reclaim(reported_at, OTHER, &[ABANDONED.request], &state);
+    assert_eq!(granted(&mut leasing, reported_at, BY_OTHER, &state), none());
+    leasing.reclaim(reported_at, HOLDER, &[ABANDONED.request], &state);
     assert_eq!(unknown(&mut leasing, start + LEASE_LENGTH * 2, &state), none());
-    assert_eq!(granted(&mut leasing, told_at, NEXT, &state), all_items());
+    assert_eq!(granted(&mut leasing, reported_at, NEXT, &state), all_items());
     // Told once more, it doesn't concern what the holder has now.
-    leasing.reclaim(told_at, HOLDER, &[LOST.request], &state);
-    assert_eq!(granted(&mut leasing, told_at, OF_OTHER, &state), none());
+    leasing.reclaim(reported_at, HOLDER, &[ABANDONED.request], &state);
+    assert_eq!(granted(&mut leasing, reported_at, BY_OTHER, &state), none());
 }
 
 #[test]
@@ -175,18 +175,18 @@
     let state = new_job();
     let mut leasing = leader_of(&state);
     let start = Instant::default();
-    leasing.reclaim(start, HOLDER, &[LOST.request], &state);
-    assert_eq!(granted(&mut leasing, start + STEP, LOST, &state), none());
+    leasing.reclaim(start, HOLDER, &[ABANDONED.request], &state);
+    assert_eq!(granted(&mut leasing, start + STEP, ABANDONED, &state), none());
     assert_eq!(granted(&mut leasing, start + STEP, NEXT, &state), all_items());
 }
 
 #[test]
 fn the_next_leader_grants_again_what_was_not_taken() {
     let mut state = new_job();
-    commit_start(&mut state, LOST);
+    commit_start(&mut state, ABANDONED);
     let elected = Instant::default();
     let mut leasing = Leasing::new(elected, 2, &state);
-    leasing.reclaim(elected + STEP, HOLDER, &[LOST.request], &state);
+    leasing.reclaim(elected + STEP, HOLDER, &[ABANDONED.request], &state);
     let granting = elected + LEASE_LENGTH;
     // Until all earlier entries are applied, a later start of them may follow.
     assert_eq!(unknown(&mut leasing, granting, &state), none());
@@ -201,12 +201,12 @@
 #[test]
 fn only_the_last_holder_can_say_that_items_did_not_run() {
     let mut state = new_job();
-    commit_start(&mut state, LOST);
-    commit_start(&mut state, OF_OTHER);
+    commit_start(&mut state, ABANDONED);
+    commit_start(&mut state, BY_OTHER);
     let elected = Instant::default();
     let mut leasing = Leasing::new(elected, 2, &state);
     leasing.note_own_term_applied();
-    leasing.reclaim(elected + STEP, HOLDER, &[LOST.request], &state);
+    leasing.reclaim(elected + STEP, HOLDER, &[ABANDONED.request], &state);
     assert_eq!(unknown(&mut leasing, elected + LEASE_LENGTH, &state), all_items());
     assert_eq!(granted(&mut leasing, elected + LEASE_LENGTH, NEXT, &state), none());
 }
@@ -214,7 +214,7 @@
 #[test]
 fn a_start_names_its_request_after_a_restart_too() {
     let mut state = new_job();
-    let start = StartItems { job: JOB.into(), positions: vec![3], holder: HOLDER.0, request: LOST.request };
+    let start = StartItems { job: JOB.into(), positions: vec![3], holder: HOLDER.0, request: ABANDONED.request };
     let applied = state.apply(Command { body: Some(Body::StartItems(start)) });
     let mut restored = new_job();
     for effect in applied.effects {
@@ -222,17 +222,17 @@
             restored.load(table, &key, &value);
         }
     }
-    assert_eq!(restored.job(JOB).unwrap().start_requests.get(&3), Some(&LOST.request));
+    assert_eq!(restored.job(JOB).unwrap().start_requests.get(&3), Some(&ABANDONED.request));
 }
 
 #[test]
 fn a_holder_tells_what_it_gave_up_for_a_bounded_time() {
     let start = Instant::default();
-    let mut unanswered = AbandonedRequests::default();
-    unanswered.note(start, &[1]);
+    let mut abandoned = AbandonedRequests::default();
+    abandoned.note(start, &[1]);
     // To tell it again is no news.
-    unanswered.note(start + STEP, &[1, 2]);
-    assert_eq!(unanswered.to_report(start + STEP), [1, 2]);
-    assert_eq!(unanswered.to_report(start + ABANDONED_REPORT_TIME), [2]);
-    assert_eq!(unanswered.to_report(start + STEP + ABANDONED_REPORT_TIME), [0; 0]);
+    abandoned.note(start + STEP, &[1, 2]);
+    assert_eq!(abandoned.to_report(start + STEP), [1, 2]);
+    assert_eq!(abandoned.to_report(start + ABANDONED_REPORT_TIME), [2]);
+    assert_eq!(abandoned.to_report(start + STEP + ABANDONED_REPORT_TIME), [0; 0]);
 }
--- a/crates/core/tests/pending_cancellations.rs
+++ b/crates/core/tests/pending_cancellations.rs
@@ -10,67 +10,67 @@
 
 #[test]
 fn an_end_is_owed_once_for_each_caller() {
-    let mut owed = PendingCancellations::default();
+    let mut pending = PendingCancellations::default();
     for _ in 0..2 {
-        assert_eq!(owed.push(START, "job-1", None), None);
-        assert_eq!(owed.push(START, "job-1", Some("red")), None);
+        assert_eq!(pending.push(START, "job-1", None), None);
+        assert_eq!(pending.push(START, "job-1", Some("red")), None);
     }
-    assert_eq!(owed.len(), 2);
+    assert_eq!(pending.len(), 2);
 }
 
 /// One end that can't be done lets the others come to their turn.
 #[test]
 fn ends_are_tried_in_turn() {
-    let mut owed = PendingCancellations::default();
+    let mut pending = PendingCancellations::default();
     for job in ["job-1", "job-2"] {
-        owed.push(START, job, None);
+        pending.push(START, job, None);
     }
-    let mut tried = Vec::new();
+    let mut retried = Vec::new();
     for _ in 0..4 {
-        let end = owed.next_cancellation().unwrap();
-        tried.push(end.job.clone());
-        assert_eq!(owed.note_failed(START, end), None);
+        let cancellation = pending.next_cancellation().unwrap();
+        retried.push(cancellation.job.clone());
+        assert_eq!(pending.note_failed(START, cancellation), None);
     }
-    assert_eq!(tried, ["job-1", "job-2", "job-1", "job-2"]);
+    assert_eq!(retried, ["job-1", "job-2", "job-1", "job-2"]);
 }
 
 #[test]
 fn an_end_is_given_up_after_its_time() {
-    let mut owed = PendingCancellations::default();
-    owed.push(START, "job-1", None);
-    let end = owed.next_cancellation().unwrap();
+    let mut pending = PendingCancellations::default();
+    pending.push(START, "job-1", None);
+    let cancellation = pending.next_cancellation().unwrap();
     let just_before = START + MAX_RETRY_TIME - Duration::from_millis(1);
-    assert_eq!(owed.note_failed(just_before, end), None);
-    let end = owed.next_cancellation().unwrap();
-    let (given_up, reason) = owed.note_failed(START + MAX_RETRY_TIME, end).unwrap();
-    assert_eq!((given_up.job.as_str(), reason), ("job-1", GiveUpReason::TooOld));
-    assert!(owed.is_empty());
+    assert_eq!(pending.note_failed(just_before, cancellation), None);
+    let cancellation = pending.next_cancellation().unwrap();
+    let (abandoned, reason) = pending.note_failed(START + MAX_RETRY_TIME, cancellation).unwrap();
+    assert_eq!((abandoned.job.as_str(), reason), ("job-1", GiveUpReason::TooOld));
+    assert!(pending.is_empty());
 }
 
 #[test]
 fn where_too_many_are_owed_the_oldest_gives_way() {
-    let mut owed = PendingCancellations::default();
+    let mut pending = PendingCancellations::default();
     for number in 0..MAX_PENDING_CANCELLATIONS {
-        assert_eq!(owed.push(START, &format!("job-{number}"), None), None);
+        assert_eq!(pending.push(START, &format!("job-{number}"), None), None);
     }
-    let (given_up, reason) = owed.push(START, "job-more", None).unwrap();
-    assert_eq!((given_up.job.as_str(), reason), ("job-0", GiveUpReason::TooMany));
-    assert_eq!(owed.len(), MAX_PENDING_CANCELLATIONS);
+    let (abandoned, reason) = pending.push(START, "job-more", None).unwrap();
+    assert_eq!((abandoned.job.as_str(), reason), ("job-0", GiveUpReason::TooMany));
+    assert_eq!(pending.len(), MAX_PENDING_CANCELLATIONS);
 }
 
 /// A store that fails is asked less and less often; once it answers, what is owed
 /// follows without a pause.
 #[test]
 fn pauses_grow_with_failures_and_end_with_a_success() {
-    let mut owed = PendingCancellations::default();
-    owed.push(START, "job-1", None);
-    let mut pauses = Vec::new();
+    let mut pending = PendingCancellations::default();
+    pending.push(START, "job-1", None);
+    let mut backoffs = Vec::new();
     for _ in 0..5 {
-        pauses.push(owed.backoff().as_millis());
-        let end = owed.next_cancellation().unwrap();
-        owed.note_failed(START, end);
+        backoffs.push(pending.backoff().as_millis());
+        let cancellation = pending.next_cancellation().unwrap();
+        pending.note_failed(START, cancellation);
     }
-    assert_eq!(pauses, [60, 120, 240, 480, 480]);
-    owed.note_settled();
-    assert_eq!(owed.backoff(), Duration::ZERO);
+    assert_eq!(backoffs, [60, 120, 240, 480, 480]);
+    pending.note_settled();
+    assert_eq!(pending.backoff(), Duration::ZERO);
 }
