--- a/crates/core/tests/item_urgency.rs
+++ b/crates/core/tests/item_urgency.rs
@@ -21,14 +21,14 @@
 }
 
 #[test]
-fn an_item_starts_only_with_time_for_the_waits_that_others_had() {
+fn an_item_without_events_needs_time_for_the_waits_of_other_items() {
     let times = sample_times();
     assert!(!can_meet_due_time(&times, 0, remaining_time(Duration::from_secs(5))));
     assert!(can_meet_due_time(&times, 0, remaining_time(Duration::from_secs(7))));
 }
 
 #[test]
-fn what_was_begun_is_given_up_only_where_its_run_alone_would_end_too_late() {
+fn an_item_with_events_needs_time_for_its_remaining_run_only() {
     let times = sample_times();
     assert!(can_meet_due_time(&times, EVENTS / 2, remaining_time(Duration::from_millis(2200))));
     assert!(!can_meet_due_time(&times, EVENTS / 2, remaining_time(Duration::from_millis(1900))));
@@ -36,14 +36,14 @@
 }
 
 #[test]
-fn without_a_measurement_only_the_due_time_decides() {
+fn without_estimates_only_the_due_time_decides() {
     let times = RunTimes::default();
     assert!(can_meet_due_time(&times, 0, remaining_time(Duration::from_secs(1))));
     assert!(!can_meet_due_time(&times, 0, remaining_time(Duration::from_millis(50))));
 }
 
 #[test]
-fn what_needs_least_goes_first_and_overdue_items_last() {
+fn items_with_the_most_events_start_first() {
     let times = sample_times();
     let waiting = vec![(0, 0), (1, 100), (2, 0), (3, 40)];
     let in_time = plan_starts(&times, waiting.clone(), remaining_time(Duration::from_secs(9)));
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn where_peaks_take_the_slots_more_items_are_in_time_than_by_due_times_alone() {
+fn more_items_meet_their_due_time_under_peaks_than_by_due_time_order() {
     let (mut before, mut after, mut all) = (0, 0, 0);
     for seed in 0..5 {
         let (in_time, items) = Load::simulate(seed, plan_starts);
--- a/crates/core/tests/key_acceptance.rs
+++ b/crates/core/tests/key_acceptance.rs
@@ -9,7 +9,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn the_time_counts_from_the_confirmation_and_not_from_the_taking() {
+fn the_limit_counts_from_the_confirmation_and_not_from_the_load() {
     for age in [Duration::ZERO, MAX_SNAPSHOT_AGE / 2, MAX_SNAPSHOT_AGE - SECOND, MAX_SNAPSHOT_AGE, MAX_SNAPSHOT_AGE * 2]
     {
         let mut keys = KeyAcceptance::default();
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn keys_that_a_source_told_are_accepted_and_the_next_snapshot_counts_anew() {
+fn keys_from_a_source_have_no_limit_and_each_snapshot_sets_its_own() {
     let mut keys = KeyAcceptance::default();
     assert!(keys.accepts(TAKEN + MAX_SNAPSHOT_AGE * 9));
     keys.note_snapshot_used(TAKEN, MAX_SNAPSHOT_AGE);
--- a/crates/core/tests/leasing.rs
+++ b/crates/core/tests/leasing.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn items_outlast_a_leader_that_falls_silent() {
+fn held_items_survive_an_unresponsive_leader() {
     let state = started_job();
     for election in ELECTION_MILLISECONDS.step_by(100).map(Duration::from_millis) {
         for first_call in (0..20).map(|step| STEP * step) {
@@ -81,7 +81,7 @@
 /// A node that was cut off tells others of each other's end; who renews lives. One
 /// that is gone is not waited for until its leases end.
 #[test]
-fn a_holder_that_renews_is_not_gone() {
+fn a_holder_that_renews_keeps_its_leases_when_reported_absent() {
     let state = started_job();
     let elected = Instant::default();
     let mut leasing = Leasing::new(elected, 2, &state);
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_grant_that_was_not_taken_is_granted_again() {
+fn items_of_an_abandoned_request_are_granted_again() {
     let mut state = new_job();
     let mut leasing = leader_of(&state);
     let start = Instant::default();
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_request_that_comes_after_its_holder_gave_it_up_gets_nothing() {
+fn a_request_that_arrives_after_it_was_abandoned_gets_no_items() {
     let state = new_job();
     let mut leasing = leader_of(&state);
     let start = Instant::default();
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn the_next_leader_grants_again_what_was_not_taken() {
+fn the_next_leader_grants_items_of_an_abandoned_request_again() {
     let mut state = new_job();
     commit_start(&mut state, ABANDONED);
     let elected = Instant::default();
@@ -199,7 +199,7 @@
 /// Items that came back were granted to another node, which is gone: what their first
 /// holder says of its own request must not let them run a second time.
 #[test]
-fn only_the_last_holder_can_say_that_items_did_not_run() {
+fn only_the_last_holder_can_report_that_items_did_not_run() {
     let mut state = new_job();
     commit_start(&mut state, ABANDONED);
     commit_start(&mut state, BY_OTHER);
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn a_start_names_its_request_after_a_restart_too() {
+fn a_stored_start_contains_its_request() {
     let mut state = new_job();
     let start = StartItems { job: JOB.into(), positions: vec![3], holder: HOLDER.0, request: ABANDONED.request };
     let applied = state.apply(Command { body: Some(Body::StartItems(start)) });
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn a_holder_tells_what_it_gave_up_for_a_bounded_time() {
+fn abandoned_requests_are_reported_for_a_bounded_time() {
     let start = Instant::default();
     let mut abandoned = AbandonedRequests::default();
     abandoned.note(start, &[1]);
--- a/crates/core/tests/pending_cancellations.rs
+++ b/crates/core/tests/pending_cancellations.rs
@@ -9,7 +9,7 @@
 const START: Instant = Instant::from_micros(1_000_000);
 
 #[test]
-fn an_end_is_owed_once_for_each_caller() {
+fn a_cancellation_is_pending_once_per_caller() {
     let mut pending = PendingCancellations::default();
     for _ in 0..2 {
         assert_eq!(pending.push(START, "job-1", None), None);
@@ -20,7 +20,7 @@
 
 /// One end that can't be done lets the others come to their turn.
 #[test]
-fn ends_are_tried_in_turn() {
+fn cancellations_are_retried_in_turn() {
     let mut pending = PendingCancellations::default();
     for job in ["job-1", "job-2"] {
         pending.push(START, job, None);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn an_end_is_given_up_after_its_time() {
+fn a_cancellation_is_abandoned_after_its_retry_time() {
     let mut pending = PendingCancellations::default();
     pending.push(START, "job-1", None);
     let cancellation = pending.next_cancellation().unwrap();
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn where_too_many_are_owed_the_oldest_gives_way() {
+fn the_oldest_cancellation_is_abandoned_when_there_are_too_many() {
     let mut pending = PendingCancellations::default();
     for number in 0..MAX_PENDING_CANCELLATIONS {
         assert_eq!(pending.push(START, &format!("job-{number}"), None), None);
@@ -61,7 +61,7 @@
 /// A store that fails is asked less and less often; once it answers, what is owed
 /// follows without a pause.
 #[test]
-fn pauses_grow_with_failures_and_end_with_a_success() {
+fn backoff_grows_with_failures_and_ends_with_a_success() {
     let mut pending = PendingCancellations::default();
     pending.push(START, "job-1", None);
     let mut backoffs = Vec::new();
