--- a/crates/core/src/leasing.rs
+++ b/crates/core/src/leasing.rs
@@ -1,18 +1,16 @@
-//! Leases of batch items from a store group's leader to owners.
+//! Leases of batch items, granted by the leader of a store group to owners.
 //!
-//! Soft state of the leader: a lease is renewed by each of the owner's
-//! requests and lapses when they stop; its items then go to others, and the
-//! first committed completion wins. Items that must not run twice are never
-//! given out again: their holder's lapse leaves `unknown`.
+//! Leases are soft state. Each request of the holder renews them; when they expire, their
+//! items are granted again, and the first committed completion wins. Items that must not
+//! run twice are not granted again: they get the outcome `unknown`.
 //!
-//! A holder that gives up waiting for the answer to a request says so with its next
-//! ones. What was granted to that request has not run, although its start may be
-//! committed: it is granted again. The start names the request, so that the next leader
-//! knows it too.
+//! A holder that abandons a lease request reports it with its next requests. Items granted
+//! to that request did not run, although their start may be committed, so they are
+//! granted again. Each committed start contains its request, so this also works after a
+//! change of leader.
 //!
-//! A new leader knows no leases. Where jobs were open when it was elected, it
-//! grants nothing for one lease length and takes up the leases that holders
-//! tell it of.
+//! A new leader has no leases. If jobs are open at its election, it grants nothing for one
+//! lease duration and restores the leases that holders report.
 
 use crate::identity::NodeId;
 use crate::jobs::{Job, JobState};
@@ -21,26 +19,23 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet, VecDeque};
 use std::time::Duration;
 
-/// Time without renewal after which a lease lapses.
+/// Time without renewal after which a lease expires.
 pub const LEASE_LENGTH: Duration = Duration::from_secs(3);
-/// Time in which a leader must answer a call for leases; a grant that comes later is
-/// not taken, which the holder tells. A holder that asks a silent leader twice, with a
-/// pause of 250 ms between, still reaches the next leader within the lease length in
-/// which that one grants nothing. With the 6 s of other calls every started item of every
-/// holder was given up as unknown.
+/// Timeout of a lease request, after which its holder abandons it. Two calls to an unresponsive leader and a backoff of 250 ms
+/// must fit into the time in which the next leader grants nothing; otherwise that leader
+/// would settle the started items of all holders as unknown.
 pub const LEASE_CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// A holder that renewed within this time is not gone, whatever other nodes say: it
-/// renews each 750 ms. A node that was cut off tells, once it is heard again, that all
-/// others are gone.
+/// A holder that renewed within this time counts as present, whatever membership reports:
+/// a node that returns from a network partition reports all others as dead. Holders renew
+/// every 750 ms.
 const CONTACT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time for which a holder tells, and a leader remembers, that a request was given up:
-/// more than a group is without a leader in an election that is repeated several times
-/// (2.4 s each), and than a message may be under way (6 s).
+/// Time for which a holder reports, and a leader remembers, an abandoned request. Covers
+/// several repeated elections (2.4 s each) and the maximum delay of a message (6 s).
 pub const ABANDONED_REPORT_TIME: Duration = Duration::from_secs(30);
-/// Most items in one grant of one job.
+/// Maximum number of items in one grant.
 const CHUNK_ITEMS: usize = 64;
 
-/// Items of one job that are granted together.
+/// Items of one job under one lease.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Grant {
     /// Identity of the lease.
@@ -51,16 +46,16 @@
     pub positions: Vec<u64>,
 }
 
-/// Who asks for items.
+/// Node and request that a lease is granted to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseRequester {
     /// The node.
     pub node: NodeId,
-    /// Its lease request, never used again by any node; zero is none.
+    /// Lease request, unique over all nodes; zero if there is none.
     pub request: u64,
 }
 
-/// A row with its weight among the rows of its service.
+/// A row and its weight among the rows of its service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RowWeight<'a> {
     /// The row.
@@ -69,17 +64,17 @@
     pub weight: f64,
 }
 
-/// Items whose holder is gone.
+/// Result of expiring leases.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Lapsed {
-    /// Items that must not run twice, so that their result can't be told.
+    /// Items by job that must not run twice and whose outcome is unknown.
     pub unknown: Vec<(String, Vec<u64>)>,
 }
 
 #[derive(Debug)]
 struct Lease {
     node: NodeId,
-    /// The request that it was granted to; zero for one of an earlier leader.
+    /// Request that the lease was granted to; zero if an earlier leader granted it.
     request: u64,
     job: String,
     positions: BTreeSet<u64>,
@@ -87,7 +82,7 @@
 }
 
 impl Lease {
-    /// Whether its holder could have renewed it since, and did not.
+    /// Whether the holder has not renewed the lease within the contact timeout.
     fn has_missed_renewal(&self, now: Instant) -> bool {
         now + LEASE_LENGTH >= self.expires_at + CONTACT_TIMEOUT
     }
@@ -99,7 +94,7 @@
     returned: VecDeque<u64>,
 }
 
-/// The leases of a store group, kept by its leader.
+/// Leases of a store group, held by its leader.
 #[derive(Debug)]
 pub struct Leasing {
     granting_from: Instant,
@@ -109,14 +104,14 @@
     cursors: HashMap<String, JobCursor>,
     /// Jobs with items to grant, per row, by deadline.
     open: BTreeMap<String, BTreeSet<(u64, String)>>,
-    /// Requests whose answer no holder takes any more, and until when that is remembered.
+    /// Abandoned requests, with the time at which they are forgotten.
     abandoned: HashMap<u64, Instant>,
-    /// Whether all that earlier leaders committed is known here.
+    /// Whether all entries of earlier leaders are applied.
     has_applied_own_term: bool,
 }
 
 impl Leasing {
-    /// The leases of a new leader of this term.
+    /// Creates the state of a new leader of this term.
     pub fn new(now: Instant, term: u64, state: &JobState) -> Self {
         let may_be_held = state.jobs().any(|job| !job.has_ended());
         let mut leasing = Self {
@@ -135,14 +130,14 @@
         leasing
     }
 
-    /// A job was created, or items of it came back.
+    /// Makes the items of a job available for grants.
     pub fn open_job(&mut self, job: &Job) {
         let record = &job.record;
         self.cursors.entry(record.job.clone()).or_default();
         self.open.entry(record.row.clone()).or_default().insert((record.deadline_seconds, record.job.clone()));
     }
 
-    /// The job has ended: its items are granted no more.
+    /// Drops the leases of an ended job and stops granting its items.
     pub fn close_job(&mut self, job: &Job) {
         let record = &job.record;
         self.cursors.remove(&record.job);
@@ -153,8 +148,8 @@
         self.held.forget(&record.job);
     }
 
-    /// Renews what a node holds, and takes up leases of an earlier leader.
-    /// Returns jobs that the node should stop.
+    /// Renews the leases of a node and restores those of an earlier leader. Returns the
+    /// ended or missing jobs, which the node should stop.
     pub fn renew(&mut self, now: Instant, node: NodeId, held: &[HeldChunk], state: &JobState) -> Vec<String> {
         let mut ended = BTreeSet::new();
         for chunk in held {
@@ -182,13 +177,14 @@
         }
     }
 
-    /// An entry of this leader's own term is applied, and so all entries before it.
+    /// Records that an entry of this leader's term, and so all entries before it, are
+    /// applied.
     pub fn note_own_term_applied(&mut self) {
         self.has_applied_own_term = true;
     }
 
-    /// A holder takes no answer to these requests any more: what was granted to them
-    /// has not run.
+    /// Reclaims the items granted to requests that their holder abandoned; these items
+    /// did not run.
     pub fn reclaim(&mut self, now: Instant, node: NodeId, abandoned: &[u64], state: &JobState) {
         for request in abandoned {
             self.abandoned.insert(*request, now + ABANDONED_REPORT_TIME);
@@ -205,8 +201,8 @@
         }
     }
 
-    /// Grants items of several rows to a node that has room for so many: each
-    /// row its share by weight, and what a row has no items for to the others.
+    /// Grants up to `room` items of several rows to a node. Each row gets a share by
+    /// weight; unused shares go to the other rows.
     pub fn grant_shared(
         &mut self,
         now: Instant,
@@ -237,9 +233,9 @@
         self.open.iter().filter(|(_, jobs)| !jobs.is_empty()).map(|(row, _)| row.clone()).collect()
     }
 
-    /// Grants items of a row to a node, the job with the nearest deadline
-    /// first. Nothing is granted while an earlier leader's leases may hold, nor to a
-    /// request that comes after word that its answer isn't taken.
+    /// Grants up to `room` items of a row to a node, by deadline of their jobs. Grants
+    /// nothing while leases of an earlier leader may be valid, and nothing to an
+    /// abandoned request.
     pub fn grant(
         &mut self,
         now: Instant,
@@ -286,7 +282,7 @@
         grants
     }
 
-    /// Items with a committed result are no longer held.
+    /// Removes items with a committed result from all leases.
     pub fn note_completed(&mut self, job: &str, positions: &[u64]) {
         self.held.release(job, positions);
         for lease in self.leases.values_mut().filter(|lease| lease.job == job) {
@@ -297,9 +293,9 @@
         self.leases.retain(|_, lease| !lease.positions.is_empty());
     }
 
-    /// A holder gives items back that it has not started. Only items that are
-    /// still under the very lease count: a message that comes late or twice
-    /// must not take an item from its next holder.
+    /// Takes items that their holder has not started out of its lease and grants them
+    /// again. Items that are no longer under this lease are ignored: a late or repeated
+    /// message must not take an item from its next holder.
     pub fn return_items(&mut self, node: NodeId, chunk: &HeldChunk, job: &Job) {
         let Some(lease) = self.leases.get_mut(&chunk.lease) else { return };
         if lease.node != node || lease.job != chunk.job {
@@ -324,7 +320,7 @@
         }
     }
 
-    /// Takes back what was not renewed, sooner from a node that is said to be gone.
+    /// Removes expired leases, and those of absent holders after the contact timeout.
     pub fn expire(&mut self, now: Instant, state: &JobState, is_present: impl Fn(NodeId) -> bool) -> Lapsed {
         let expired: Vec<u64> = self
             .leases
@@ -351,7 +347,8 @@
         lapsed
     }
 
-    /// Grants orphans again that never reached their holder; gives back the others.
+    /// Makes orphans of abandoned requests available again; returns the others, whose
+    /// outcome is unknown.
     fn resolve_orphans(&mut self, state: &JobState) -> Vec<(String, Vec<u64>)> {
         let mut unknown = Vec::new();
         for (name, positions) in self.orphans(state) {
@@ -360,7 +357,8 @@
                 job.start_requests.get(position).is_some_and(|request| self.abandoned.contains_key(request))
             };
             let (not_run, lost): (Vec<u64>, Vec<u64>) = positions.into_iter().partition(was_abandoned);
-            // Until all is known, a later start may stand in the log, of a holder that runs it.
+            // Until all earlier entries are applied, the log may contain a later start of
+            // the item by a holder that runs it.
             if self.has_applied_own_term {
                 self.make_available(job, &not_run);
             }
@@ -371,8 +369,8 @@
         unknown
     }
 
-    /// Started items of jobs that must not run twice, held by nobody: left by
-    /// an earlier leader whose holder did not tell this one of them.
+    /// Started items of jobs that must not run twice, without a lease: an earlier leader
+    /// granted them, and their holder has not reported them to this leader.
     fn orphans(&self, state: &JobState) -> Vec<(String, Vec<u64>)> {
         let mut orphans = Vec::new();
         for (name, cursor) in &self.cursors {
@@ -391,14 +389,13 @@
         orphans
     }
 
-    /// Items held at present.
+    /// Number of items under leases.
     pub fn held_items(&self) -> usize {
         self.leases.values().map(|lease| lease.positions.len()).sum()
     }
 }
 
-/// Positions under any lease, by job, so that a grant need not look through
-/// all leases.
+/// Index of the positions under any lease, by job.
 #[derive(Debug, Default)]
 struct HeldPositions {
     by_job: HashMap<String, HashSet<u64>>,
@@ -432,9 +429,8 @@
 }
 
 impl JobCursor {
-    /// Takes up to so many items that are neither done, started nor held. An
-    /// item that its holder gave back did not run, so its committed start
-    /// stands for the next holder.
+    /// Takes up to `most` items that are neither done, started nor held. Returned items
+    /// did not run, so they are taken in spite of their committed start.
     fn take(&mut self, job: &Job, max_items: usize, held: &HeldPositions) -> Vec<u64> {
         let free = |position: u64| !job.done.get(position) && !held.contains(&job.record.job, position);
         let mut positions = Vec::new();
--- a/crates/core/tests/leasing.rs
+++ b/crates/core/tests/leasing.rs
@@ -1,6 +1,5 @@
-//! Leases of items when the leader that granted them falls silent: its holders
-//! reach the next leader before that one takes their items for lost. And grants whose
-//! answer comes too late: their start is committed, but no holder runs them.
+//! Leases across a change of leader, and grants whose answer arrives after the holder's
+//! timeout.
 
 use latchwheel_core::abandoned_requests::AbandonedRequests;
 use latchwheel_core::identity::NodeId;
@@ -17,14 +16,14 @@
 const ITEMS: u64 = 60;
 const HOLDER: NodeId = NodeId(7);
 const FORMER_LEASE: u64 = 1;
-/// Pause of a holder between two rounds over the nodes that may lead.
+/// Backoff of a holder between two rounds over the nodes that may be leader.
 const ROUND_PAUSE: Duration = Duration::from_millis(250);
-/// A follower stands for election after one to two of its timeouts of 600 ms; a
-/// vote that was split is repeated after as long again.
+/// A follower starts an election after one to two election timeouts (600 ms); a split vote
+/// doubles that time.
 const ELECTION_MILLISECONDS: std::ops::RangeInclusive<u64> = 600..=2400;
 const STEP: Duration = Duration::from_millis(50);
 
-/// All items of a job that must not run twice have started.
+/// State with a job that must not run twice and whose items have all started.
 fn started_job() -> JobState {
     let record = JobRecord { job: JOB.into(), row: "bulk".into(), items: ITEMS, ..JobRecord::default() };
     let mut state = JobState::default();
@@ -35,13 +34,13 @@
     state
 }
 
-/// When a holder that asks the silent leader first reaches the one that is elected
-/// `election` after the silence began; its first call leaves `first_call` after that.
+/// Time from the failure of the leader until a holder reaches the next leader, which is
+/// elected after `election`. The holder makes its first call after `first_call`.
 fn contact_with_new_leader(election: Duration, first_call: Duration) -> Duration {
     let mut at = first_call;
     loop {
         at += LEASE_CALL_TIMEOUT;
-        // The others are asked in the same round.
+        // The same round calls the other nodes.
         if at >= election {
             return at;
         }
@@ -78,8 +77,8 @@
     }
 }
 
-/// A node that was cut off tells others of each other's end; who renews lives. One
-/// that is gone is not waited for until its leases end.
+/// A node that returns from a network partition reports all others as dead. Holders that
+/// renew must keep their leases; the leases of an absent holder end before they expire.
 #[test]
 fn a_holder_that_renews_keeps_its_leases_when_reported_absent() {
     let state = started_job();
@@ -99,19 +98,15 @@
     assert_eq!(lost, (0..ITEMS).collect());
 }
 
-// A job that must not run items twice was handed in, and its items ended as failed with
-// an unknown outcome, although no server had seen them. The leader granted them, the
-// commit of their start took longer than the holder waits (a disk that was slow to sync,
-// or an election meanwhile), and the holder took no late answer. The items were started
-// and held by nobody, so that they lapsed as unknown. Runs with a delayed sync of the
-// store's disk showed it: the failed items are those that were granted in the delay.
+// If the commit of a start takes longer than the request timeout of the holder, the items
+// are started but no holder runs them. They must be granted again, not end as unknown.
 
 const OTHER: NodeId = NodeId(8);
 const ABANDONED: LeaseRequester = LeaseRequester { node: HOLDER, request: 11 };
 const NEXT: LeaseRequester = LeaseRequester { node: HOLDER, request: 12 };
 const BY_OTHER: LeaseRequester = LeaseRequester { node: OTHER, request: 21 };
 
-/// A job none of whose items has started.
+/// State with a job whose items have not started.
 fn new_job() -> JobState {
     let record = JobRecord { job: JOB.into(), row: "bulk".into(), items: ITEMS, ..JobRecord::default() };
     let mut state = JobState::default();
@@ -119,7 +114,7 @@
     state
 }
 
-/// A leader that may grant at once, and knows all.
+/// Leader that may grant at once and has applied all earlier entries.
 fn leader_of(state: &JobState) -> Leasing {
     let mut leasing = Leasing::new(Instant::default(), 1, &JobState::default());
     leasing.open_job(state.job(JOB).unwrap());
@@ -159,13 +154,13 @@
     assert_eq!(granted(&mut leasing, start, ABANDONED, &state), all_items());
     commit_start(&mut state, ABANDONED);
     let reported_at = start + LEASE_CALL_TIMEOUT + ROUND_PAUSE;
-    // Only its holder can say so.
+    // Reports by other nodes are ignored.
     leasing.reclaim(reported_at, OTHER, &[ABANDONED.request], &state);
     assert_eq!(granted(&mut leasing, reported_at, BY_OTHER, &state), none());
     leasing.reclaim(reported_at, HOLDER, &[ABANDONED.request], &state);
     assert_eq!(unknown(&mut leasing, start + LEASE_LENGTH * 2, &state), none());
     assert_eq!(granted(&mut leasing, reported_at, NEXT, &state), all_items());
-    // Told once more, it doesn't concern what the holder has now.
+    // A repeated report must not reclaim items of a later request.
     leasing.reclaim(reported_at, HOLDER, &[ABANDONED.request], &state);
     assert_eq!(granted(&mut leasing, reported_at, BY_OTHER, &state), none());
 }
@@ -188,7 +183,7 @@
     let mut leasing = Leasing::new(elected, 2, &state);
     leasing.reclaim(elected + STEP, HOLDER, &[ABANDONED.request], &state);
     let granting = elected + LEASE_LENGTH;
-    // Until all earlier entries are applied, a later start of them may follow.
+    // Until all earlier entries are applied, the log may contain a later start.
     assert_eq!(unknown(&mut leasing, granting, &state), none());
     assert_eq!(granted(&mut leasing, granting, NEXT, &state), none());
     leasing.note_own_term_applied();
@@ -196,8 +191,8 @@
     assert_eq!(granted(&mut leasing, granting, NEXT, &state), all_items());
 }
 
-/// Items that came back were granted to another node, which is gone: what their first
-/// holder says of its own request must not let them run a second time.
+/// Reclaimed items were granted to another node, which failed. A late report of the first
+/// holder must not make them run twice.
 #[test]
 fn only_the_last_holder_can_report_that_items_did_not_run() {
     let mut state = new_job();
@@ -230,7 +225,7 @@
     let start = Instant::default();
     let mut abandoned = AbandonedRequests::default();
     abandoned.note(start, &[1]);
-    // To tell it again is no news.
+    // Recording a request again does not extend its time.
     abandoned.note(start + STEP, &[1, 2]);
     assert_eq!(abandoned.to_report(start + STEP), [1, 2]);
     assert_eq!(abandoned.to_report(start + ABANDONED_REPORT_TIME), [2]);
