--- a/crates/core/src/abandoned_requests.rs
+++ b/crates/core/src/abandoned_requests.rs
@@ -1,28 +1,28 @@
-//! Lease requests whose answer a holder takes no more.
+//! Lease requests that a holder abandoned without an answer.
 //!
 //! A leader may have granted items to such a request and committed their start. The
-//! holder tells it with its next requests for a time, so that the items are granted
-//! again: to this leader, to the next one, and once more where the request arrives late.
+//! holder reports it with its next requests for a limited time, so that the items are
+//! granted again, also by the next leader or if the request arrives late.
 
 use crate::leasing::ABANDONED_REPORT_TIME;
 use crate::time::Instant;
 use std::collections::BTreeMap;
 
-/// The requests of one holder that it has given up.
+/// Abandoned requests of one holder.
 #[derive(Debug, Default)]
 pub struct AbandonedRequests {
     report_until: BTreeMap<u64, Instant>,
 }
 
 impl AbandonedRequests {
-    /// These requests were given up now or before.
+    /// Records abandoned requests; repeated ones keep their first time.
     pub fn note(&mut self, now: Instant, requests: &[u64]) {
         for request in requests {
             self.report_until.entry(*request).or_insert(now + ABANDONED_REPORT_TIME);
         }
     }
 
-    /// The requests to tell.
+    /// Requests to report to the leader.
     pub fn to_report(&mut self, now: Instant) -> Vec<u64> {
         self.report_until.retain(|_, report_until| *report_until > now);
         self.report_until.keys().copied().collect()
--- a/crates/core/src/item_progress.rs
+++ b/crates/core/src/item_progress.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Pause after the first failed run of an item; doubled at each further one.
+/// Backoff after the first failed or interrupted run, doubled after each further one.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_BACKOFF: Duration = Duration::from_secs(3);
 /// An item is given up after this multiple of the failures that its route allows, even
@@ -57,12 +57,12 @@
     pub expires: Instant,
 }
 
-/// When an item's first run at this worker began, and what was kept of it then.
+/// Start of an item's first run at this worker.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunStart {
-    /// Start of its first run.
+    /// Time of the start.
     pub at: Instant,
-    /// Events that were kept before.
+    /// Events kept before the start.
     pub events: u64,
 }
 
@@ -153,12 +153,12 @@
         }
     }
 
-    /// A run is about to start; the first one is remembered.
+    /// Records the first start of a run; later starts are ignored.
     pub fn note_run_started(&mut self, now: Instant) {
         self.first_run.get_or_insert(RunStart { at: now, events: self.events });
     }
 
-    /// When its first run began; `None` if it was never started here.
+    /// Start of the first run; `None` if there was none at this worker.
     pub fn first_run(&self) -> Option<RunStart> {
         self.first_run
     }
@@ -225,7 +225,7 @@
         at_enough_servers || self.failures >= rules.max_failures.saturating_mul(MAX_FAILURES_FACTOR)
     }
 
-    /// Pause after a failed run.
+    /// Backoff after a failed or interrupted run.
     fn backoff(&self) -> Duration {
         let failed_runs = (self.failures + self.interruptions).saturating_sub(1);
         exponential_backoff(INITIAL_BACKOFF, MAX_BACKOFF, failed_runs)
--- a/crates/core/src/item_urgency.rs
+++ b/crates/core/src/item_urgency.rs
@@ -1,37 +1,36 @@
-//! Which items of a batch job start first, and which can't be in time any more.
+//! Order in which items of a batch job start, and which of them count as overdue.
 //!
-//! The load that this answers: more batch work than room, while peaks of online
-//! requests take the slots of running items again and again. Started in the order of
-//! their due times alone, all items then start at the last moment at which an
-//! undisturbed run is in time, and the next peak makes them late: the room is spent on
-//! items that miss their due time by a little. So an item starts only while there is
-//! time for its run and for the waits that others had; later it counts as overdue and
-//! goes after all that can be in time. It still ends.
+//! Under overload, peaks of online requests preempt running items repeatedly. In the
+//! order of due times alone, items start at the last moment at which a run without
+//! interruption is in time; the next peak then makes them late, and slots are spent on
+//! items that just miss their due time. An item therefore starts only if the remaining
+//! time covers its run and the waits that other items had. Otherwise it counts as
+//! overdue and starts after all items that can meet their due time.
 
 use crate::run_times::RunTimes;
 use std::time::Duration;
 
-/// The time that a job has left, of which its results need some to be listed.
+/// Time that a job has left, and the part of it needed to list results.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RemainingTime {
-    /// Until the job is due.
+    /// Time until the job is due.
     pub time_until_due: Duration,
-    /// From the end of an item until its result can be read.
+    /// Time from the end of an item until its result can be read.
     pub listing: Duration,
 }
 
-/// Items of one job that may start, in the order in which they should.
+/// Items of one job in the order in which they should start.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StartPlan {
     /// Positions of the items in the job.
     pub positions: Vec<usize>,
-    /// Whether none of them can be in time any more.
+    /// Whether none of them can meet the due time.
     pub overdue: bool,
 }
 
-/// Whether an item that has kept `events` can be in time if it starts now. What was
-/// begun is given up late: little of its work is left, and the rest would be lost to
-/// its due time.
+/// Whether an item with `events` kept events can meet the due time if it starts now. For
+/// an item with events, only the remaining run counts and no waits, so that the work
+/// done for it is not wasted.
 pub fn can_meet_due_time(times: &RunTimes, events: u64, remaining_time: RemainingTime) -> bool {
     let run_time = remaining_time.time_until_due.saturating_sub(remaining_time.listing);
     if run_time.is_zero() {
@@ -43,8 +42,9 @@
     times.remaining_with_waits(0) <= run_time
 }
 
-/// Of items that may start, given by position and kept events, those that can be in
-/// time, or all if none can. What needs least goes first.
+/// Plans the starts of `waiting` items, given by position and number of kept events:
+/// those that can meet the due time, or all if none can. Items with the most events start
+/// first.
 pub fn plan_starts(times: &RunTimes, waiting: Vec<(usize, u64)>, remaining_time: RemainingTime) -> StartPlan {
     let meets_due_time = |item: &&(usize, u64)| can_meet_due_time(times, item.1, remaining_time);
     let in_time_items: Vec<(usize, u64)> = waiting.iter().filter(meets_due_time).copied().collect();
--- a/crates/core/src/key_acceptance.rs
+++ b/crates/core/src/key_acceptance.rs
@@ -1,27 +1,27 @@
-//! Until when keys are accepted that a table names which was kept before a start.
+//! Time limit on accepting the keys of a table snapshot.
 //!
-//! The fault: a key is taken away while the store is away for this node, which serves by a
-//! snapshot. The node can't hear of it; so it accepts keys for a bounded time only, counted
-//! from when the store last confirmed the snapshot, however late it was taken from a disk.
+//! A node that serves from a snapshot while the store is unreachable does not learn that a
+//! key was revoked. It therefore accepts the keys of a snapshot for a bounded time only,
+//! counted from the last confirmation by the store and not from the load from disk.
 
 use crate::startup_snapshot::MAX_SNAPSHOT_AGE;
 use crate::time::Instant;
 use std::time::Duration;
 
-/// How long the keys of the table in force are accepted.
+/// Time until which the keys of the current table are accepted.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct KeyAcceptance {
-    /// `None` for the keys that a source told this process.
+    /// `None` if a source sent the table to this process: no limit.
     accepted_until: Option<Instant>,
 }
 
 impl KeyAcceptance {
-    /// The table was kept on a disk; the store confirmed it so long ago.
+    /// Records that the table comes from a snapshot, which the store confirmed `age` ago.
     pub fn note_snapshot_used(&mut self, now: Instant, age: Duration) {
         self.accepted_until = Some(now + MAX_SNAPSHOT_AGE.saturating_sub(age));
     }
 
-    /// A source has told what the table is now.
+    /// Records that a source sent the current table.
     pub fn note_received(&mut self) {
         self.accepted_until = None;
     }
--- a/crates/core/src/pending_cancellations.rs
+++ b/crates/core/src/pending_cancellations.rs
@@ -1,44 +1,43 @@
-//! The ends of jobs that a node still owes to its callers.
+//! Cancellations of jobs that the record store did not accept before the callers' timeout.
 //!
-//! The record store did not take them in their callers' time. They are tried in turn, so
-//! that one that can't be done holds up none; each for a limited time, and so many at most.
+//! They are retried in turn, so that a failing cancellation does not block the others, each
+//! for a limited time. Their number is limited too.
 
 use crate::retry::exponential_backoff;
 use crate::time::Instant;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Most ends that are owed; some hundred bytes each.
+/// Maximum number of pending cancellations, of some hundred bytes each.
 pub const MAX_PENDING_CANCELLATIONS: usize = 1024;
-/// Time for which an end is tried: as long as one is kept for a job that is not in the
-/// store when it is ended, which is the longest lease that stores grant.
+/// Time for which a cancellation is retried: the maximum lease that stores grant, for which
+/// they also keep the cancellation of a job that is not stored yet.
 pub const MAX_RETRY_TIME: Duration = Duration::from_secs(600);
-/// Pause after a try that failed, doubled at each failure in a row up to the longest:
-/// the same as between the tries for which a caller waits.
+/// Backoff after the first failure, doubled with each further one up to the maximum.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(60);
 const MAX_BACKOFF: Duration = Duration::from_millis(480);
 
-/// An end that a caller asked for.
+/// A cancellation requested by a caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PendingCancellation {
-    /// Job.
+    /// Identity of the job.
     pub job: String,
     /// Tenant of the caller.
     pub caller: Option<String>,
     retry_until: Instant,
 }
 
-/// Why an end is tried no more.
+/// Reason for abandoning a cancellation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GiveUpReason {
-    /// More are owed than a node keeps; this one was owed longest.
+    /// The number of pending cancellations exceeded the limit, and this was the oldest.
     TooMany,
-    /// It was tried for [`MAX_RETRY_TIME`].
+    /// The cancellation was retried for [`MAX_RETRY_TIME`].
     TooOld,
 }
 
 impl GiveUpReason {
-    /// A word for the log.
+    /// Name of the reason in logs.
     pub fn word(self) -> &'static str {
         match self {
             GiveUpReason::TooMany => "too_many",
@@ -47,10 +46,10 @@
     }
 }
 
-/// An end that is tried no more, and why.
+/// An abandoned cancellation and the reason.
 pub type AbandonedCancellation = (PendingCancellation, GiveUpReason);
 
-/// The ends that a node owes, but for the one that is being tried.
+/// Pending cancellations of a node, without the one in progress.
 #[derive(Debug, Default)]
 pub struct PendingCancellations {
     cancellations: VecDeque<PendingCancellation>,
@@ -58,10 +57,10 @@
 }
 
 impl PendingCancellations {
-    /// The store did not take an end in its caller's time. Gives back the one that
-    /// had to give way, if any.
+    /// Adds a cancellation that the store did not accept in time, if not yet present.
+    /// Returns the oldest one if the limit is exceeded.
     pub fn push(&mut self, now: Instant, job: &str, caller: Option<&str>) -> Option<AbandonedCancellation> {
-        // The caller's own tries have just failed.
+        // The call on behalf of the caller has just failed.
         self.failures = self.failures.max(1);
         if self
             .cancellations
@@ -82,22 +81,22 @@
         self.cancellations.pop_front().map(|cancellation| (cancellation, GiveUpReason::TooMany))
     }
 
-    /// Ends that wait for a try.
+    /// Number of cancellations that wait for a retry.
     pub fn len(&self) -> usize {
         self.cancellations.len()
     }
 
-    /// Whether none waits for a try.
+    /// Whether no cancellation waits for a retry.
     pub fn is_empty(&self) -> bool {
         self.cancellations.is_empty()
     }
 
-    /// The end to try next.
+    /// Removes and returns the cancellation to retry next.
     pub fn next_cancellation(&mut self) -> Option<PendingCancellation> {
         self.cancellations.pop_front()
     }
 
-    /// Pause before the next try.
+    /// Backoff before the next retry.
     pub fn backoff(&self) -> Duration {
         match self.failures.checked_sub(1) {
             Some(earlier_failures) => exponential_backoff(INITIAL_BACKOFF, MAX_BACKOFF, earlier_failures),
@@ -105,12 +104,12 @@
         }
     }
 
-    /// A try has settled its end.
+    /// Records a retry that settled its cancellation.
     pub fn note_settled(&mut self) {
         self.failures = 0;
     }
 
-    /// A try of an end has failed. Gives it back if it is tried no more.
+    /// Records a failed retry. Returns the cancellation if it is abandoned.
     pub fn note_failed(&mut self, now: Instant, cancellation: PendingCancellation) -> Option<AbandonedCancellation> {
         self.failures = self.failures.saturating_add(1);
         if now >= cancellation.retry_until {
--- a/crates/core/tests/item_urgency.rs
+++ b/crates/core/tests/item_urgency.rs
@@ -1,4 +1,4 @@
-//! Which items of batch jobs start, where peaks of online requests take their slots.
+//! Start order of batch items while peaks of online requests take their slots.
 
 use latchwheel_core::item_urgency::{can_meet_due_time, plan_starts, RemainingTime, StartPlan};
 use latchwheel_core::run_times::RunTimes;
@@ -12,7 +12,7 @@
     RemainingTime { time_until_due, listing: Duration::from_millis(100) }
 }
 
-/// Items run for 4 s, and are whole 6 s after their first start.
+/// Estimates of items that run for 4 s and complete 6 s after their first start.
 fn sample_times() -> RunTimes {
     let mut times = RunTimes::default();
     times.note_completed(EVENTS, EVENTS, Duration::from_secs(4));
@@ -56,13 +56,13 @@
 
 const STEP: f64 = 0.05;
 const SLOTS: usize = 44;
-/// Slots that are left to items in a peak.
+/// Slots for batch items during a peak.
 const SLOTS_AT_PEAK: usize = 7;
 const CALM_SECONDS: f64 = 3.0;
 const PERIOD_SECONDS: f64 = 5.2;
 const RUN_SECONDS: f64 = 4.0;
 const DUE_SECONDS: f64 = 18.0;
-/// Jobs come for so long, and their work is half as much again as there is room for.
+/// Time during which jobs arrive, with about 1.5 times the work that the slots can run.
 const LOAD_SECONDS: f64 = 60.0;
 const JOBS_PER_SECOND: f64 = 1.0;
 const ITEMS: usize = 10;
@@ -89,10 +89,10 @@
     }
 }
 
-/// A rule by which items start.
+/// Rule for the order of starts.
 type Rule = fn(&RunTimes, Vec<(usize, u64)>, RemainingTime) -> StartPlan;
 
-/// Items start as long as an undisturbed run is in time.
+/// Baseline: items start while a run without interruption meets the due time.
 fn by_due_time_order(times: &RunTimes, waiting: Vec<(usize, u64)>, remaining_time: RemainingTime) -> StartPlan {
     let in_time = |item: &&(usize, u64)| times.remaining(item.1) <= remaining_time.time_until_due;
     let in_time_items: Vec<usize> = waiting.iter().filter(in_time).map(|item| item.0).collect();
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Running items go on; those of the latest jobs give way.
+    /// Advances running items; preempts those of the latest jobs if slots are missing.
     fn run(&mut self) {
         let mut running = self.running();
         for (job, position) in &running {
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Items in time, and all.
+    /// Simulates the load; returns the number of items in time and of all items.
     fn simulate(seed: u64, rule: Rule) -> (usize, usize) {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut load = Self { now: 0.0, times: RunTimes::default(), jobs: Vec::new() };
@@ -204,12 +204,15 @@
     for seed in 0..5 {
         let (in_time, items) = Load::simulate(seed, plan_starts);
         let by_due_time = Load::simulate(seed, by_due_time_order).0;
-        assert!(in_time > by_due_time, "seed {seed}: {by_due_time} {in_time} of {items}");
+        assert!(
+            in_time > by_due_time,
+            "seed {seed}, in time of {items}: {by_due_time} by due time order, {in_time} with waits"
+        );
         after += in_time;
         all += items;
         before += by_due_time;
     }
-    println!("in time of {all}: {before} by due times alone, {after} with time for waits");
-    // In every second job one item more is in time.
-    assert!(after - before >= all / ITEMS / 2, "{before} {after} of {all}");
+    println!("in time of {all}: {before} by due time order, {after} with time for waits");
+    // On average at least one more item in every second job must be in time.
+    assert!(after - before >= all / ITEMS / 2, "in time of {all}: {before} by due time order, {after} with waits");
 }
--- a/crates/core/tests/key_acceptance.rs
+++ b/crates/core/tests/key_acceptance.rs
@@ -1,4 +1,4 @@
-//! Until when keys of a table are accepted that was kept before a start.
+//! Time limit on accepting the keys of a table snapshot.
 
 use latchwheel_core::key_acceptance::KeyAcceptance;
 use latchwheel_core::startup_snapshot::MAX_SNAPSHOT_AGE;
@@ -28,7 +28,7 @@
     keys.note_snapshot_used(TAKEN, MAX_SNAPSHOT_AGE);
     assert!(!keys.accepts(TAKEN));
     keys.note_snapshot_used(TAKEN, MAX_SNAPSHOT_AGE / 2);
-    assert!(keys.accepts(TAKEN), "a snapshot that was confirmed later");
+    assert!(keys.accepts(TAKEN), "the snapshot was confirmed more recently");
     keys.note_snapshot_used(TAKEN, MAX_SNAPSHOT_AGE);
     keys.note_received();
     assert!(keys.accepts(TAKEN + MAX_SNAPSHOT_AGE * 9));
--- a/crates/core/tests/pending_cancellations.rs
+++ b/crates/core/tests/pending_cancellations.rs
@@ -1,4 +1,4 @@
-//! Ends of jobs that a node still owes to its callers.
+//! Retries of cancellations that the record store did not accept in time.
 
 use latchwheel_core::pending_cancellations::{
     GiveUpReason, PendingCancellations, MAX_PENDING_CANCELLATIONS, MAX_RETRY_TIME,
@@ -18,7 +18,7 @@
     assert_eq!(pending.len(), 2);
 }
 
-/// One end that can't be done lets the others come to their turn.
+/// A failing cancellation must not block the others.
 #[test]
 fn cancellations_are_retried_in_turn() {
     let mut pending = PendingCancellations::default();
@@ -58,8 +58,6 @@
     assert_eq!(pending.len(), MAX_PENDING_CANCELLATIONS);
 }
 
-/// A store that fails is asked less and less often; once it answers, what is owed
-/// follows without a pause.
 #[test]
 fn backoff_grows_with_failures_and_ends_with_a_success() {
     let mut pending = PendingCancellations::default();
