--- a/crates/core/src/item_urgency.rs
+++ b/crates/core/src/item_urgency.rs
@@ -32,14 +32,14 @@
 /// an item with events, only the remaining run counts and no waits, so that the work
 /// done for it is not wasted.
 pub fn can_meet_due_time(times: &RunTimes, events: u64, remaining_time: RemainingTime) -> bool {
-    let run_time = remaining_time.time_until_due.saturating_sub(remaining_time.listing);
-    if run_time.is_zero() {
+    let available_time = remaining_time.time_until_due.saturating_sub(remaining_time.listing);
+    if available_time.is_zero() {
         return false;
     }
     if events > 0 {
-        return times.remaining(events) <= run_time;
+        return times.remaining(events) <= available_time;
     }
-    times.remaining_with_waits(0) <= run_time
+    times.remaining_with_waits(0) <= available_time
 }
 
 /// Plans the starts of `waiting` items, given by position and number of kept events:
