--- a/crates/core/src/item_urgency.rs
+++ b/crates/core/src/item_urgency.rs
@@ -1,11 +1,10 @@
 //! Order in which items of a batch job start, and which of them count as overdue.
 //!
 //! Under overload, peaks of online requests preempt running items repeatedly. In the
-//! order of due times alone, items start at the last moment at which a run without
-//! interruption is in time; the next peak then makes them late, and slots are spent on
-//! items that just miss their due time. An item therefore starts only if the remaining
-//! time covers its run and the waits that other items had. Otherwise it counts as
-//! overdue and starts after all items that can meet their due time.
+//! order of due times alone, items would start at the last moment at which a run without
+//! interruption is in time, and the next peak would make them late. An item therefore
+//! counts as overdue unless the remaining time covers its run and the waits that other
+//! items had. Overdue items start after all items that can meet their due time.
 
 use crate::run_times::RunTimes;
 use std::time::Duration;
--- a/crates/core/src/leasing.rs
+++ b/crates/core/src/leasing.rs
@@ -21,9 +21,10 @@
 
 /// Time without renewal after which a lease expires.
 pub const LEASE_LENGTH: Duration = Duration::from_secs(3);
-/// Timeout of a lease request, after which its holder abandons it. Two calls to an unresponsive leader and a backoff of 250 ms
-/// must fit into the time in which the next leader grants nothing; otherwise that leader
-/// would settle the started items of all holders as unknown.
+/// Timeout of a lease request, after which its holder abandons it. Two calls to an
+/// unresponsive leader and a backoff of 250 ms must fit into the time in which the next
+/// leader grants nothing. Otherwise that leader would treat the started items of all
+/// holders as unknown.
 pub const LEASE_CALL_TIMEOUT: Duration = Duration::from_secs(1);
 /// A holder that renewed within this time counts as present, whatever membership reports:
 /// a node that returns from a network partition reports all others as dead. Holders renew
@@ -64,7 +65,7 @@
     pub weight: f64,
 }
 
-/// Result of expiring leases.
+/// Items of expired leases that are not granted again.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Lapsed {
     /// Items by job that must not run twice and whose outcome is unknown.
@@ -88,9 +89,12 @@
     }
 }
 
+/// Items of a job that may be granted next.
 #[derive(Debug, Default)]
 struct JobCursor {
+    /// First position that was not granted yet.
     next: u64,
+    /// Positions that were returned, reclaimed or expired.
     returned: VecDeque<u64>,
 }
 
@@ -201,7 +205,7 @@
         }
     }
 
-    /// Grants up to `room` items of several rows to a node. Each row gets a share by
+    /// Grants up to `max_items` items of several rows to a node. Each row gets a share by
     /// weight; unused shares go to the other rows.
     pub fn grant_shared(
         &mut self,
@@ -233,8 +237,8 @@
         self.open.iter().filter(|(_, jobs)| !jobs.is_empty()).map(|(row, _)| row.clone()).collect()
     }
 
-    /// Grants up to `room` items of a row to a node, by deadline of their jobs. Grants
-    /// nothing while leases of an earlier leader may be valid, and nothing to an
+    /// Grants up to `max_items` items of a row to a node, by deadline of their jobs.
+    /// Grants nothing while leases of an earlier leader may be valid, and nothing to an
     /// abandoned request.
     pub fn grant(
         &mut self,
@@ -293,9 +297,9 @@
         self.leases.retain(|_, lease| !lease.positions.is_empty());
     }
 
-    /// Takes items that their holder has not started out of its lease and grants them
-    /// again. Items that are no longer under this lease are ignored: a late or repeated
-    /// message must not take an item from its next holder.
+    /// Makes items available again that their holder returns without a start. Items that
+    /// are no longer under this lease are ignored: a late or repeated message must not
+    /// take an item from its next holder.
     pub fn return_items(&mut self, node: NodeId, chunk: &HeldChunk, job: &Job) {
         let Some(lease) = self.leases.get_mut(&chunk.lease) else { return };
         if lease.node != node || lease.job != chunk.job {
@@ -429,7 +433,7 @@
 }
 
 impl JobCursor {
-    /// Takes up to `most` items that are neither done, started nor held. Returned items
+    /// Takes up to `max_items` items that are neither done, started nor held. Returned items
     /// did not run, so they are taken in spite of their committed start.
     fn take(&mut self, job: &Job, max_items: usize, held: &HeldPositions) -> Vec<u64> {
         let free = |position: u64| !job.done.get(position) && !held.contains(&job.record.job, position);
