--- a/crates/core/tests/item_urgency.rs
+++ b/crates/core/tests/item_urgency.rs
@@ -76,16 +76,16 @@
 
 #[derive(Clone, Debug)]
 struct Item {
-    job_at: f64,
-    length: f64,
-    done: f64,
+    arrived_at: f64,
+    run_seconds: f64,
+    done_seconds: f64,
     first_start: Option<f64>,
     state: ItemState,
 }
 
 impl Item {
     fn events(&self) -> u64 {
-        (self.done / RUN_SECONDS * EVENTS as f64) as u64
+        (self.done_seconds / RUN_SECONDS * EVENTS as f64) as u64
     }
 }
 
@@ -128,9 +128,9 @@
     fn arrive(&mut self, random: &mut SmallRng) {
         if self.now < LOAD_SECONDS && random.random_bool(JOBS_PER_SECOND * STEP) {
             let item = |random: &mut SmallRng| Item {
-                job_at: self.now,
-                length: RUN_SECONDS * random.random_range(0.6..1.4),
-                done: 0.0,
+                arrived_at: self.now,
+                run_seconds: RUN_SECONDS * random.random_range(0.6..1.4),
+                done_seconds: 0.0,
                 first_start: None,
                 state: ItemState::Waiting,
             };
@@ -144,14 +144,14 @@
         let mut running = self.running();
         for (job, position) in &running {
             let item = &mut self.jobs[*job][*position];
-            item.done += STEP;
+            item.done_seconds += STEP;
             let ItemState::Running { since, events_before } = item.state else { continue };
-            if item.done < item.length {
+            if item.done_seconds < item.run_seconds {
                 continue;
             }
             item.state = ItemState::Completed { at: self.now };
-            let of_run = item.events().saturating_sub(events_before);
-            self.times.note_completed(item.events(), of_run, Duration::from_secs_f64(self.now - since));
+            let last_run_events = item.events().saturating_sub(events_before);
+            self.times.note_completed(item.events(), last_run_events, Duration::from_secs_f64(self.now - since));
             let elapsed = self.now - item.first_start.unwrap_or(since);
             self.times.note_elapsed(item.events(), Duration::from_secs_f64(elapsed));
         }
@@ -167,9 +167,9 @@
         for (number, job) in self.jobs.iter().enumerate() {
             let is_waiting = |position: &usize| job[*position].state == ItemState::Waiting;
             let waiting = (0..job.len()).filter(is_waiting).map(|position| (position, job[position].events()));
-            let time_until_due = (job[0].job_at + DUE_SECONDS - self.now).max(0.0);
-            let list = rule(&self.times, waiting.collect(), remaining_time(Duration::from_secs_f64(time_until_due)));
-            order.push((list.overdue, number, list.positions));
+            let time_until_due = (job[0].arrived_at + DUE_SECONDS - self.now).max(0.0);
+            let plan = rule(&self.times, waiting.collect(), remaining_time(Duration::from_secs_f64(time_until_due)));
+            order.push((plan.overdue, number, plan.positions));
         }
         order.sort();
         let free = self.slots().saturating_sub(self.running().len());
@@ -193,14 +193,14 @@
         }
         let items: Vec<&Item> = load.jobs.iter().flatten().collect();
         let in_time =
-            |item: &&&Item| matches!(item.state, ItemState::Completed { at } if at <= item.job_at + DUE_SECONDS);
+            |item: &&&Item| matches!(item.state, ItemState::Completed { at } if at <= item.arrived_at + DUE_SECONDS);
         (items.iter().filter(in_time).count(), items.len())
     }
 }
 
 #[test]
 fn more_items_meet_their_due_time_under_peaks_than_by_due_time_order() {
-    let (mut before, mut after, mut all) = (0, 0, 0);
+    let (mut total_by_due_time, mut total_in_time, mut total_items) = (0, 0, 0);
     for seed in 0..5 {
         let (in_time, items) = Load::simulate(seed, plan_starts);
         let by_due_time = Load::simulate(seed, by_due_time_order).0;
@@ -208,11 +208,14 @@
             in_time > by_due_time,
             "seed {seed}, in time of {items}: {by_due_time} by due time order, {in_time} with waits"
         );
-        after += in_time;
-        all += items;
-        before += by_due_time;
+        total_in_time += in_time;
+        total_items += items;
+        total_by_due_time += by_due_time;
     }
-    println!("in time of {all}: {before} by due time order, {after} with time for waits");
+    println!("in time of {total_items}: {total_by_due_time} by due time order, {total_in_time} with time for waits");
     // On average at least one more item in every second job must be in time.
-    assert!(after - before >= all / ITEMS / 2, "in time of {all}: {before} by due time order, {after} with waits");
+    assert!(
+        total_in_time - total_by_due_time >= total_items / ITEMS / 2,
+        "in time of {total_items}: {total_by_due_time} by due time order, {total_in_time} with waits"
+    );
 }
