--- a/crates/core/tests/leasing.rs
+++ b/crates/core/tests/leasing.rs
@@ -78,7 +78,7 @@
 }
 
 /// A node that returns from a network partition reports all others as dead. Holders that
-/// renew must keep their leases; the leases of an absent holder end before they expire.
+/// renew must keep their leases; those of an absent holder end before their expiry.
 #[test]
 fn a_holder_that_renews_keeps_its_leases_when_reported_absent() {
     let state = started_job();
