--- a/crates/core/tests/event_stream.rs
+++ b/crates/core/tests/event_stream.rs
@@ -4,10 +4,10 @@
 use proptest::prelude::*;
 
 #[test]
-fn an_event_leaves_only_when_it_is_whole() {
+fn only_complete_events_are_returned() {
     let mut framer = EventFramer::default();
     assert!(framer.push(b"id: 1\ndata: a").unwrap().is_empty());
-    assert!(framer.holds_part());
+    assert!(framer.has_partial_event());
     let events = framer.push(b"\n\nid: 2\n").unwrap();
     assert_eq!(events.len(), 1);
     assert_eq!((events[0].id, &*events[0].bytes), (Some(1), &b"id: 1\ndata: a\n\n"[..]));
@@ -15,7 +15,7 @@
     let events = framer.push(b"id: 2\r\ndata: b\r\n\r\n").unwrap();
     assert_eq!(events[0].id, Some(2));
     assert_eq!(event_data(&events[0].bytes), b"b");
-    assert!(!framer.holds_part());
+    assert!(!framer.has_partial_event());
 }
 
 #[test]
@@ -33,9 +33,9 @@
 }
 
 proptest! {
-    /// However the bytes are cut, the events are the same and none is lost.
+    /// The events do not depend on how the bytes are split.
     #[test]
-    fn cuts_do_not_matter(
+    fn events_do_not_depend_on_chunk_boundaries(
         texts in prop::collection::vec("[a-z \r]{0,12}", 1..8),
         cuts in prop::collection::vec(1_usize..9, 1..40),
     ) {
@@ -56,9 +56,9 @@
         prop_assert!(events.iter().enumerate().all(|(number, event)| event.id == Some(number as u64)));
     }
 
-    /// Bytes that are no events never make it fail or lose count.
+    /// Bytes that are not events must not cause an error or duplicated output.
     #[test]
-    fn any_bytes_are_taken(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+    fn arbitrary_bytes_are_accepted(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
         let mut framer = EventFramer::default();
         let events = framer.push(&bytes).unwrap();
         let taken: usize = events.iter().map(|event| event.bytes.len()).sum();
--- a/crates/core/tests/scheduler.rs
+++ b/crates/core/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler's promises under random events.
+//! Priority, preemption, fair sharing, refusals and limits of the scheduler.
 
 use latchwheel_core::code::ResultCode;
 use latchwheel_core::identity::{ServerId, WorkId};
@@ -58,16 +58,16 @@
     actions.iter().filter_map(start).collect()
 }
 
-/// Follows the actions and checks what must hold after each event.
+/// Tracks the state that results from the actions and checks the invariants.
 #[derive(Default)]
-struct Observer {
+struct StateTracker {
     online_waiting: BTreeSet<WorkId>,
     batch_waiting: BTreeSet<WorkId>,
     running: BTreeMap<WorkId, (ServerId, Class)>,
     classes: BTreeMap<WorkId, Class>,
 }
 
-impl Observer {
+impl StateTracker {
     fn arrive(&mut self, id: WorkId, class: Class) {
         self.classes.insert(id, class);
         match class {
@@ -76,22 +76,22 @@
         };
     }
 
-    fn follow(&mut self, actions: &[Action]) {
+    fn apply(&mut self, actions: &[Action]) {
         for action in actions {
             match action {
                 Action::Start(id, server) => {
                     let class = self.classes[id];
                     let waited = self.online_waiting.remove(id) || self.batch_waiting.remove(id);
-                    assert!(waited, "{id:?} was started without waiting");
+                    assert!(waited, "{id:?} was started but did not wait");
                     assert!(self.running.insert(*id, (*server, class)).is_none());
                 }
                 Action::Preempt(id) => {
-                    let (_, class) = self.running.remove(id).expect("only running work gives way");
-                    assert_eq!(class, Class::Batch, "online work gave way");
+                    let (_, class) = self.running.remove(id).expect("preempted work must be running");
+                    assert_eq!(class, Class::Batch, "online work was preempted");
                     self.batch_waiting.insert(*id);
                 }
                 Action::Refuse(id, ..) => {
-                    assert!(self.online_waiting.remove(id), "refused work must have waited");
+                    assert!(self.online_waiting.remove(id), "only waiting online work may be refused");
                 }
             }
         }
@@ -103,7 +103,7 @@
         for (server, _) in self.running.values() {
             *load.entry(*server).or_default() += 1;
         }
-        assert!(load.values().all(|running| *running <= SLOTS), "a server has more than its slots");
+        assert!(load.values().all(|running| *running <= SLOTS), "a server runs more work than it has slots");
         if !self.online_waiting.is_empty() {
             let batch_running = self.running.values().any(|(_, class)| *class == Class::Batch);
             assert!(!batch_running, "online work waits while batch work runs");
@@ -137,7 +137,7 @@
     #[test]
     fn online_work_never_waits_behind_batch_work(steps in steps()) {
         let mut scheduler = scheduler(&["a", "b", "c"]);
-        let mut observer = Observer::default();
+        let mut observer = StateTracker::default();
         for (number, step) in steps.into_iter().enumerate() {
             let now = at(number as u64);
             let id = WorkId(number as u64);
@@ -165,14 +165,14 @@
                 Step::Finish(_) | Step::Withdraw(_) => Event::Tick,
             };
             let actions = scheduler.handle(now, event);
-            observer.follow(&actions);
+            observer.apply(&actions);
         }
     }
 
     #[test]
     fn no_slot_is_idle_while_work_waits(steps in steps()) {
         let mut scheduler = scheduler(&["a", "b"]);
-        let mut observer = Observer::default();
+        let mut observer = StateTracker::default();
         for (number, step) in steps.into_iter().enumerate() {
             let id = WorkId(number as u64);
             let event = match step {
@@ -188,7 +188,7 @@
                 _ => Event::Tick,
             };
             let actions = scheduler.handle(at(number as u64), event);
-            observer.follow(&actions);
+            observer.apply(&actions);
             let full = observer.running.len() as u32 == 2 * SLOTS;
             prop_assert!(full || observer.batch_waiting.is_empty());
         }
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn an_online_arrival_takes_the_place_of_the_latest_batch_item_at_once() {
+fn an_online_arrival_preempts_the_latest_batch_item_at_once() {
     let mut scheduler = scheduler(&["a"]);
     for id in 0..u64::from(SLOTS) {
         scheduler.handle(at(id), Event::Arrive(work(id, Class::Batch, "batch", 10)));
@@ -206,18 +206,18 @@
     let latest = WorkId(u64::from(SLOTS) - 1);
     assert_eq!(actions, vec![Action::Preempt(latest), Action::Start(WorkId(100), server)]);
     let actions = scheduler.handle(at(20), Event::Finished(WorkId(100)));
-    assert_eq!(actions, vec![Action::Start(latest, server)], "the item goes on first");
+    assert_eq!(actions, vec![Action::Start(latest, server)], "the preempted item must resume first");
 }
 
 #[test]
-fn work_that_must_not_run_twice_is_not_broken_off() {
+fn work_that_must_not_run_twice_is_not_preempted() {
     let mut scheduler = scheduler(&["a"]);
     for id in 0..u64::from(SLOTS) {
         let item = Work { preemptible: false, ..work(id, Class::Batch, "batch", 10) };
         scheduler.handle(at(id), Event::Arrive(item));
     }
     let actions = scheduler.handle(at(10), Event::Arrive(work(100, Class::Online, "online", 10)));
-    // The engine itself puts the less urgent sequence aside and takes it up again.
+    // All slots are taken; the engine preempts and resumes the batch sequence itself.
     assert_eq!(actions, vec![Action::Start(WorkId(100), ServerId::of_name("a"))]);
 }
 
@@ -239,11 +239,11 @@
         heavy += next.iter().filter(|id| id.0 % 2 == 0).count();
         running.extend(next);
     }
-    assert!((145..=155).contains(&heavy), "heavy got {heavy} of 200");
+    assert!((145..=155).contains(&heavy), "row heavy got {heavy} of 200 starts");
 }
 
 #[test]
-fn an_edit_of_the_table_holds_for_work_already_queued() {
+fn a_changed_concurrency_limit_applies_to_queued_work() {
     let mut scheduler = scheduler(&["a"]);
     for id in 0..40 {
         scheduler.handle(at(0), Event::Arrive(work(id, Class::Batch, "batch", 10)));
@@ -252,7 +252,7 @@
     scheduler.handle(at(1), Event::RowShare("batch".into(), limit));
     for id in 0..3 {
         let next = started(&scheduler.handle(at(2), Event::Finished(WorkId(id))));
-        assert!(next.is_empty(), "three still run, and one is allowed");
+        assert!(next.is_empty(), "the row still runs more items than the limit of one");
     }
     let next = started(&scheduler.handle(at(3), Event::Finished(WorkId(3))));
     assert_eq!(next.len(), 1);
@@ -269,9 +269,9 @@
 }
 
 #[test]
-fn a_request_that_would_wait_too_long_is_refused_at_once_with_a_time() {
+fn a_request_that_would_wait_too_long_is_refused_at_once_with_a_retry_time() {
     let mut scheduler = scheduler(&["a"]);
-    // Teaches the scheduler that a request takes a second.
+    // Sets the estimated service time to one second.
     for id in 0..u64::from(SLOTS) {
         scheduler.handle(at(0), Event::Arrive(work(id, Class::Online, "online", 10)));
     }
@@ -291,15 +291,15 @@
             break;
         }
     }
-    let (id, code, after) = refused.expect("the queue can't grow without bound");
+    let (id, code, after) = refused.expect("no request was refused");
     assert_eq!(code, ResultCode::WaitTooLong);
-    // Four run, two wait for 0.25 and 0.5 s; the third would wait for 0.75 s.
+    // Four run and two wait for 0.25 s and 0.5 s; the next would wait for 0.75 s.
     assert_eq!(id, 106);
     assert!(after >= Duration::from_millis(150), "{after:?}");
 }
 
 #[test]
-fn a_deadline_that_passes_in_the_queue_is_told_at_once() {
+fn a_request_is_refused_when_its_deadline_passes_in_the_queue() {
     let mut scheduler = scheduler(&["a"]);
     for id in 0..u64::from(SLOTS) {
         scheduler.handle(at(0), Event::Arrive(work(id, Class::Online, "online", 10)));
@@ -326,7 +326,7 @@
 }
 
 #[test]
-fn batch_gives_way_where_it_slows_online_tokens() {
+fn the_batch_limit_shrinks_when_batch_work_slows_online_tokens() {
     let mut scheduler = scheduler(&["a"]);
     scheduler.handle(at(0), Event::Arrive(work(1, Class::Online, "online", 10)));
     for step in 0..10 {
@@ -340,5 +340,5 @@
         scheduler.handle(at(4000 + 300 * step), Event::TokenGap(WorkId(1), Duration::from_millis(12)));
     }
     let after = scheduler.views()[0].1.batch_limit;
-    assert!(after < before, "{after} is not below {before}");
+    assert!(after < before, "the limit was {before} and is {after}");
 }
