--- a/crates/core/src/membership/messages.rs
+++ b/crates/core/src/membership/messages.rs
@@ -90,7 +90,7 @@
                 self.note_summary(summary);
             }
         }
-        actions.push(Action::PeerAt(from, message.revision));
+        actions.push(Action::PeerRevision(from, message.revision));
         if message.answer {
             self.take_answer(from, message.sequence, message.probe_for, actions);
         } else if message.probe_for != 0 {
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -83,7 +83,7 @@
     /// A member is new or has another status.
     Changed(MemberRecord),
     /// A peer is at this table revision.
-    PeerAt(NodeId, u64),
+    PeerRevision(NodeId, u64),
 }
 
 #[derive(Clone, Debug)]
--- a/crates/core/src/replication/mod.rs
+++ b/crates/core/src/replication/mod.rs
@@ -112,7 +112,7 @@
     /// The log may be dropped up to this index.
     Compact(u64),
     /// The node stops: hand leadership over.
-    HandOver,
+    TransferLeadership,
 }
 
 /// What the runtime has to do, in order.
@@ -295,7 +295,7 @@
             Event::Read(identity) => self.read(now, identity, &mut actions),
             Event::StateInstalled(base) => self.state_installed(base, &mut actions),
             Event::Compact(index) => self.log.compact(index.min(self.applied)),
-            Event::HandOver => self.hand_over(&mut actions),
+            Event::TransferLeadership => self.hand_over(&mut actions),
         }
         actions
     }
--- a/crates/core/src/replication/replacement.rs
+++ b/crates/core/src/replication/replacement.rs
@@ -8,7 +8,7 @@
 
 /// What the leader knows.
 #[derive(Clone, Copy, Debug)]
-pub struct Situation<'a> {
+pub struct GroupHealth<'a> {
     /// The present members.
     pub members: &'a Members,
     /// Replicas that are alive, members or not.
@@ -24,7 +24,7 @@
 }
 
 /// The members after the next change, or `None` where nothing is to do.
-pub fn next_members(situation: Situation<'_>) -> Option<Members> {
+pub fn next_members(situation: GroupHealth<'_>) -> Option<Members> {
     let replicas = &situation.members.replicas;
     let is_lost = |replica: &&Replica| situation.lost.contains(&replica.replica);
     let voters = replicas.iter().filter(|replica| replica.voter).count();
@@ -51,7 +51,7 @@
 
 /// Whether a zone holds two voters while a replica of a zone without any
 /// member is present.
-fn can_spread(situation: &Situation<'_>) -> bool {
+fn can_spread(situation: &GroupHealth<'_>) -> bool {
     let zones = voters_by_zone(situation);
     let empty_zone = |replica: &&Replica| situation.members.replicas.iter().all(|member| member.zone != replica.zone);
     let learner_elsewhere =
@@ -59,7 +59,7 @@
     zones.values().any(|count| *count > 1) && (learner_elsewhere || situation.present.iter().any(|r| empty_zone(&r)))
 }
 
-fn voters_by_zone<'a>(situation: &Situation<'a>) -> BTreeMap<&'a str, usize> {
+fn voters_by_zone<'a>(situation: &GroupHealth<'a>) -> BTreeMap<&'a str, usize> {
     let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
     for replica in situation.members.replicas.iter().filter(|replica| replica.voter) {
         *zones.entry(&replica.zone).or_default() += 1;
@@ -68,7 +68,7 @@
 }
 
 /// A voter of the zone that has the most, but not the leader.
-fn most_crowded(situation: &Situation<'_>) -> Option<u64> {
+fn most_crowded(situation: &GroupHealth<'_>) -> Option<u64> {
     let zones = voters_by_zone(situation);
     let others =
         situation.members.replicas.iter().filter(|replica| replica.voter && replica.replica != situation.leader);
@@ -78,7 +78,7 @@
 }
 
 /// A present replica that is no member, in the zone with the fewest members.
-fn successor<'a>(situation: &Situation<'a>) -> Option<&'a Replica> {
+fn successor<'a>(situation: &GroupHealth<'a>) -> Option<&'a Replica> {
     let mut by_zone: BTreeMap<&str, usize> = BTreeMap::new();
     let members: BTreeSet<u64> = situation.members.replicas.iter().map(|replica| replica.replica).collect();
     for replica in &situation.members.replicas {
@@ -98,7 +98,7 @@
     let mut members = Members::default();
     let lost = BTreeSet::new();
     while members.replicas.len() < wanted {
-        let situation = Situation { members: &members, present, lost: &lost, caught_up: &[], wanted, leader: 0 };
+        let situation = GroupHealth { members: &members, present, lost: &lost, caught_up: &[], wanted, leader: 0 };
         let Some(replica) = successor(&situation).cloned() else { break };
         members.replicas.push(Replica { voter: true, ..replica });
     }
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -85,7 +85,7 @@
                     self.queue.insert((now + delay, self.sequence), (number, to, datagram));
                 }
                 Action::Changed(record) => self.told.push((number, record)),
-                Action::PeerAt(..) => {}
+                Action::PeerRevision(..) => {}
             }
         }
     }
--- a/crates/core/tests/replication.rs
+++ b/crates/core/tests/replication.rs
@@ -1,7 +1,7 @@
 //! Single steps of the replication that random schedules seldom meet.
 
 use latchwheel_core::code::ResultCode;
-use latchwheel_core::replication::replacement::{first_members, next_members, Situation};
+use latchwheel_core::replication::replacement::{first_members, next_members, GroupHealth};
 use latchwheel_core::replication::{AckRule, Action, Event, HardState, LogBase, Replication, Restored, Role, Settings};
 use latchwheel_core::time::Instant;
 use latchwheel_protocol::v1::replication_message::Body;
@@ -238,7 +238,7 @@
     for _ in 0..4 {
         let caught_up: Vec<u64> =
             current.replicas.iter().filter(|replica| !replica.voter).map(|replica| replica.replica).collect();
-        let situation = Situation {
+        let situation = GroupHealth {
             members: &current,
             present: &present,
             lost: &lost,
@@ -260,7 +260,7 @@
 fn two_voters_of_a_zone_are_spread_once_another_zone_has_a_replica() {
     let current = members(&["a", "a", "b"]);
     let present = [replica(1, "a"), replica(2, "a"), replica(3, "b"), replica(9, "c")];
-    let situation = Situation {
+    let situation = GroupHealth {
         members: &current,
         present: &present,
         lost: &BTreeSet::new(),
--- a/crates/core/tests/simulation/upkeep.rs
+++ b/crates/core/tests/simulation/upkeep.rs
@@ -3,7 +3,7 @@
 use super::machine::{node_of, Waiter};
 use super::world::{MachineNumber, World};
 use latchwheel_core::code::ResultCode;
-use latchwheel_core::replication::replacement::{next_members, Situation};
+use latchwheel_core::replication::replacement::{next_members, GroupHealth};
 use latchwheel_core::replication::{Event, Role};
 use latchwheel_protocol::v1::command::Body;
 use latchwheel_protocol::v1::{Command, CompleteItems, ItemResult, Replica};
@@ -48,7 +48,7 @@
             .collect();
         let caught_up = running.core.caught_up_learners();
         let leader = running.core.leader();
-        let situation = Situation {
+        let situation = GroupHealth {
             members: running.core.members(),
             present: &present,
             lost: &lost,
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -150,7 +150,7 @@
             Action::Changed(record) => {
                 log::info!(target: "E4000", "member {} at {} is {:?}", record.name, record.address, record.status());
             }
-            Action::PeerAt(node, revision) => {
+            Action::PeerRevision(node, revision) => {
                 let _ = self.revisions.send(PeerRevision { node, revision });
             }
         }
--- a/crates/store/src/group/runner.rs
+++ b/crates/store/src/group/runner.rs
@@ -199,7 +199,7 @@
             Request::Installed(None) => self.core.state_pull_failed(),
             Request::Present(present) => self.note_present(now, present),
             Request::Rows(rows) => self.rows = rows,
-            Request::HandOver => actions.extend(self.core.handle(now, Event::HandOver)),
+            Request::HandOver => actions.extend(self.core.handle(now, Event::TransferLeadership)),
             Request::Stop => {}
         }
         Ok(())
--- a/crates/store/src/group/upkeep.rs
+++ b/crates/store/src/group/upkeep.rs
@@ -6,7 +6,7 @@
 use crate::lease_desk::unknown_results;
 use crate::proposals::Waiter;
 use latchwheel_core::identity::NodeId;
-use latchwheel_core::replication::replacement::{next_members, Situation};
+use latchwheel_core::replication::replacement::{next_members, GroupHealth};
 use latchwheel_core::replication::{Action, Event, Role};
 use latchwheel_core::time::Instant;
 use latchwheel_protocol::v1::command::Body;
@@ -74,7 +74,7 @@
             .map(|(replica, _)| *replica)
             .collect();
         let caught_up = self.core.caught_up_learners();
-        let situation = Situation {
+        let situation = GroupHealth {
             members: self.core.members(),
             present: &self.present.replicas,
             lost: &lost,
