--- a/crates/core/src/membership/messages.rs
+++ b/crates/core/src/membership/messages.rs
@@ -1,7 +1,7 @@
 //! Messages: what they carry, and what is done with what they brought.
 
 use super::{
-    is_live_and_sure, Action, Membership, RelayedProbe, JOIN_RECORDS, SUMMARIES_PER_PROBE, TELL_FACTOR,
+    is_unsuspected, Action, Membership, RelayedProbe, GOSSIP_FACTOR, JOIN_RECORDS, SUMMARIES_PER_PROBE,
     UPDATES_PER_MESSAGE,
 };
 use crate::identity::NodeId;
@@ -31,7 +31,7 @@
         // Whoever is held for suspect or dead must hear of it, so that it
         // can refute.
         if let Some(member) = self.members.get(&to) {
-            if !is_live_and_sure(member.record.status()) && !updates.iter().any(|record| record.node == to.0) {
+            if !is_unsuspected(member.record.status()) && !updates.iter().any(|record| record.node == to.0) {
                 updates.push(member.record.clone());
             }
         }
@@ -54,26 +54,26 @@
 
     /// Records that were told least often; each is told a bounded number of times.
     pub(super) fn pick_updates(&mut self) -> Vec<MemberRecord> {
-        let limit = (TELL_FACTOR * self.logarithm()).ceil() as u32;
+        let limit = (GOSSIP_FACTOR * self.log2_of_members()).ceil() as u32;
         let mut updates = Vec::new();
-        if self.own_tells < limit {
-            self.own_tells += 1;
+        if self.own_sends < limit {
+            self.own_sends += 1;
             updates.push(self.me.clone());
         }
-        let told: Vec<(u32, NodeId)> = self.untold.iter().take(UPDATES_PER_MESSAGE).copied().collect();
-        for (tells, node) in told {
-            self.untold.remove(&(tells, node));
-            if tells + 1 < limit {
-                self.untold.insert((tells + 1, node));
+        let pending: Vec<(u32, NodeId)> = self.pending_updates.iter().take(UPDATES_PER_MESSAGE).copied().collect();
+        for (sends, node) in pending {
+            self.pending_updates.remove(&(sends, node));
+            if sends + 1 < limit {
+                self.pending_updates.insert((sends + 1, node));
             }
             updates.extend(self.members.get(&node).map(|member| member.record.clone()));
         }
         updates
     }
 
-    pub(super) fn pick_summaries(&self, most: usize) -> Vec<Summary> {
-        let recent = self.recent.iter().take(most).filter_map(|node| self.summaries.get(node));
-        [&self.own_summary].into_iter().chain(recent).cloned().collect()
+    pub(super) fn pick_summaries(&self, limit: usize) -> Vec<Summary> {
+        let recent_in_zone = self.recent_in_zone.iter().take(limit).filter_map(|node| self.summaries.get(node));
+        [&self.own_summary].into_iter().chain(recent_in_zone).cloned().collect()
     }
 
     pub(super) fn receive(&mut self, now: Instant, message: Datagram, actions: &mut Vec<Action>) {
@@ -81,9 +81,9 @@
         if message.to != self.me.node || message.from == self.me.node {
             return;
         }
-        let unknown_sender = !self.members.contains_key(&from);
+        let is_new_sender = !self.members.contains_key(&from);
         for record in message.updates {
-            self.take_record(now, record, actions);
+            self.merge_record(now, record, actions);
         }
         for summary in message.summaries {
             if summary.node == message.from || !self.summaries.contains_key(&NodeId(summary.node)) {
@@ -92,13 +92,13 @@
         }
         actions.push(Action::PeerRevision(from, message.revision));
         if message.answer {
-            self.take_answer(from, message.sequence, message.probe_for, actions);
+            self.handle_answer(from, message.sequence, message.probe_for, actions);
         } else if message.probe_for != 0 {
             self.relay_probe(from, message.sequence, NodeId(message.probe_for), actions);
         } else {
             self.send(from, message.sequence, 0, true, actions);
-            if message.join || unknown_sender {
-                self.introduce(from, actions);
+            if message.join || is_new_sender {
+                self.send_members(from, actions);
             }
         }
     }
@@ -115,7 +115,7 @@
         self.send(target, sequence, 0, false, actions);
     }
 
-    pub(super) fn take_answer(&mut self, from: NodeId, sequence: u64, probe_for: u64, actions: &mut Vec<Action>) {
+    pub(super) fn handle_answer(&mut self, from: NodeId, sequence: u64, probe_for: u64, actions: &mut Vec<Action>) {
         let answered = if probe_for == 0 { from } else { NodeId(probe_for) };
         if self.probe.as_ref().is_some_and(|probe| probe.target == answered && probe.sequence == sequence) {
             self.probe = None;
@@ -128,7 +128,7 @@
     }
 
     /// Tells a newcomer the members of this node's region.
-    pub(super) fn introduce(&mut self, to: NodeId, actions: &mut Vec<Action>) {
+    pub(super) fn send_members(&mut self, to: NodeId, actions: &mut Vec<Action>) {
         let Some(address) = self.members.get(&to).map(|member| member.record.address.clone()) else { return };
         let mut records: Vec<MemberRecord> = self.live().filter(|record| record.node != to.0).cloned().collect();
         records.push(self.me.clone());
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -27,16 +27,16 @@
 /// Summaries of other nodes carried by one probe; answers carry none.
 const SUMMARIES_PER_PROBE: usize = 4;
 /// A record is told this many times the logarithm of the members.
-const TELL_FACTOR: f64 = 3.0;
+const GOSSIP_FACTOR: f64 = 3.0;
 /// Suspicion lasts this many periods times the logarithm of the members.
 const SUSPICION_FACTOR: f64 = 1.5;
 /// Least suspicion in periods.
-const SUSPICION_MINIMUM: f64 = 3.0;
+const MIN_SUSPICION_PERIODS: f64 = 3.0;
 /// Relays between two regions, on each side.
 const RELAYS: usize = 2;
 /// Members that are told at once of a new table revision, or that a
 /// suspicion is wrong.
-const TOLD_AT_ONCE: usize = 3;
+const GOSSIP_FANOUT: usize = 3;
 /// Every so many periods a member that is held for dead is probed.
 const RECONNECT_PERIODS: u64 = 5;
 /// Dead members are forgotten after this time, so that late gossip can't
@@ -89,7 +89,7 @@
 #[derive(Clone, Debug)]
 struct Member {
     record: MemberRecord,
-    since: Instant,
+    status_since: Instant,
 }
 
 #[derive(Clone, Debug)]
@@ -116,19 +116,19 @@
     me: MemberRecord,
     members: BTreeMap<NodeId, Member>,
     /// Members whose records are still being told, by how often they were.
-    untold: BTreeSet<(u32, NodeId)>,
+    pending_updates: BTreeSet<(u32, NodeId)>,
     suspects: BTreeSet<NodeId>,
-    round: Vec<NodeId>,
+    probe_round: Vec<NodeId>,
     probe: Option<Probe>,
     relayed: Vec<RelayedProbe>,
     next_period: Instant,
     periods: u64,
     sequence: u64,
-    own_tells: u32,
+    own_sends: u32,
     own_summary: Summary,
     summaries: BTreeMap<NodeId, Summary>,
     /// Nodes of the own zone whose summaries came last, the latest first.
-    recent: VecDeque<NodeId>,
+    recent_in_zone: VecDeque<NodeId>,
     random: SmallRng,
 }
 
@@ -140,18 +140,18 @@
             settings,
             me,
             members: BTreeMap::new(),
-            untold: BTreeSet::new(),
+            pending_updates: BTreeSet::new(),
             suspects: BTreeSet::new(),
-            round: Vec::new(),
+            probe_round: Vec::new(),
             probe: None,
             relayed: Vec::new(),
             next_period: now,
             periods: 0,
             sequence: 0,
-            own_tells: 0,
+            own_sends: 0,
             own_summary,
             summaries: BTreeMap::new(),
-            recent: VecDeque::new(),
+            recent_in_zone: VecDeque::new(),
             random: SmallRng::seed_from_u64(seed),
         }
     }
@@ -188,34 +188,34 @@
         match event {
             Event::Tick => self.tick(now, &mut actions),
             Event::Received(message) => self.receive(now, message, &mut actions),
-            Event::Seeds(records) => self.seed(now, records, &mut actions),
+            Event::Seeds(records) => self.add_seeds(now, records, &mut actions),
             Event::Leave => self.leave(&mut actions),
-            Event::OwnSummary(summary) => self.take_own_summary(summary, &mut actions),
+            Event::OwnSummary(summary) => self.update_own_summary(summary, &mut actions),
         }
         actions
     }
 
     /// A new table revision is told at once to a few members, who pull it and
     /// tell others in turn; probes carry it to whomever that misses.
-    fn take_own_summary(&mut self, summary: Summary, actions: &mut Vec<Action>) {
+    fn update_own_summary(&mut self, summary: Summary, actions: &mut Vec<Action>) {
         let newer = summary.revision > self.own_summary.revision;
         self.own_summary = summary;
         if newer {
-            self.tell_some(actions);
+            self.gossip_now(actions);
             self.probe_regions(actions);
         }
     }
 
     /// Sends to a few members of the region at once.
-    fn tell_some(&mut self, actions: &mut Vec<Action>) {
+    fn gossip_now(&mut self, actions: &mut Vec<Action>) {
         let region = &self.me.region;
-        let told: Vec<NodeId> = self
+        let targets: Vec<NodeId> = self
             .members
             .iter()
             .filter(|(_, member)| member.record.region == *region && is_live(member.record.status()))
             .map(|(id, _)| *id)
-            .choose_multiple(&mut self.random, TOLD_AT_ONCE);
-        for node in told {
+            .choose_multiple(&mut self.random, GOSSIP_FANOUT);
+        for node in targets {
             self.send(node, 0, 0, true, actions);
         }
     }
@@ -228,9 +228,9 @@
         }
         self.summaries.insert(node, summary);
         if self.members.get(&node).is_some_and(|member| member.record.zone == self.me.zone) {
-            self.recent.retain(|recent| *recent != node);
-            self.recent.push_front(node);
-            self.recent.truncate(SUMMARIES_PER_PROBE);
+            self.recent_in_zone.retain(|recent| *recent != node);
+            self.recent_in_zone.push_front(node);
+            self.recent_in_zone.truncate(SUMMARIES_PER_PROBE);
         }
     }
 
@@ -242,7 +242,7 @@
         }
         self.next_period = now + self.settings.period;
         self.periods += 1;
-        self.suspect_silent(now, actions);
+        self.suspect_unresponsive(now, actions);
         self.relayed.clear();
         self.probe_next(now, actions);
         self.probe_regions(actions);
@@ -258,17 +258,17 @@
     matches!(status, MemberStatus::Alive | MemberStatus::Suspect)
 }
 
-fn is_live_and_sure(status: MemberStatus) -> bool {
+fn is_unsuspected(status: MemberStatus) -> bool {
     matches!(status, MemberStatus::Alive | MemberStatus::Leaving)
 }
 
 /// Whether a record goes before another of the same member: the higher
 /// incarnation; at the same one, the graver status.
 fn supersedes(new: &MemberRecord, old: &MemberRecord) -> bool {
-    (new.incarnation, gravity(new.status())) > (old.incarnation, gravity(old.status()))
+    (new.incarnation, severity(new.status())) > (old.incarnation, severity(old.status()))
 }
 
-fn gravity(status: MemberStatus) -> u8 {
+fn severity(status: MemberStatus) -> u8 {
     match status {
         MemberStatus::Alive => 0,
         MemberStatus::Leaving => 1,
--- a/crates/core/src/membership/probing.rs
+++ b/crates/core/src/membership/probing.rs
@@ -2,7 +2,8 @@
 //! are held for dead.
 
 use super::{
-    is_live, Action, Membership, Probe, DEAD_RETENTION, INDIRECT_PROBES, RELAYS, SUSPICION_FACTOR, SUSPICION_MINIMUM,
+    is_live, Action, Membership, Probe, DEAD_RETENTION, INDIRECT_PROBES, MIN_SUSPICION_PERIODS, RELAYS,
+    SUSPICION_FACTOR,
 };
 use crate::identity::{stable_hash, NodeId};
 use crate::ownership::is_among_first;
@@ -32,12 +33,12 @@
         }
     }
 
-    pub(super) fn suspect_silent(&mut self, now: Instant, actions: &mut Vec<Action>) {
+    pub(super) fn suspect_unresponsive(&mut self, now: Instant, actions: &mut Vec<Action>) {
         let Some(probe) = self.probe.take() else { return };
         if let Some(member) = self.members.get(&probe.target) {
             if member.record.status() == MemberStatus::Alive || member.record.status() == MemberStatus::Leaving {
                 let record = MemberRecord { status: MemberStatus::Suspect.into(), ..member.record.clone() };
-                self.take_record(now, record, actions);
+                self.merge_record(now, record, actions);
             }
         }
     }
@@ -46,31 +47,31 @@
         if self.suspects.is_empty() {
             return;
         }
-        let limit = self.suspicion();
+        let limit = self.suspicion_timeout();
         let expired: Vec<MemberRecord> = self
             .suspects
             .iter()
             .filter_map(|node| self.members.get(node))
-            .filter(|member| now.since(member.since) >= limit)
+            .filter(|member| now.since(member.status_since) >= limit)
             .map(|member| MemberRecord { status: MemberStatus::Dead.into(), ..member.record.clone() })
             .collect();
         for record in expired {
-            self.take_record(now, record, actions);
+            self.merge_record(now, record, actions);
         }
     }
 
     pub(super) fn forget_dead(&mut self, now: Instant) {
         self.members.retain(|_, member| {
-            member.record.status() != MemberStatus::Dead || now.since(member.since) < DEAD_RETENTION
+            member.record.status() != MemberStatus::Dead || now.since(member.status_since) < DEAD_RETENTION
         });
     }
 
-    pub(super) fn suspicion(&self) -> Duration {
-        let periods = (SUSPICION_FACTOR * self.logarithm()).max(SUSPICION_MINIMUM);
+    pub(super) fn suspicion_timeout(&self) -> Duration {
+        let periods = (SUSPICION_FACTOR * self.log2_of_members()).max(MIN_SUSPICION_PERIODS);
         self.settings.period.mul_f64(periods)
     }
 
-    pub(super) fn logarithm(&self) -> f64 {
+    pub(super) fn log2_of_members(&self) -> f64 {
         (self.members.len() as f64 + 2.0).log2()
     }
 
@@ -80,10 +81,10 @@
 
     pub(super) fn probe_next(&mut self, now: Instant, actions: &mut Vec<Action>) {
         for _ in 0..2 {
-            while let Some(target) = self.round.pop() {
-                let probed =
+            while let Some(target) = self.probe_round.pop() {
+                let may_probe =
                     self.members.get(&target).is_some_and(|member| member.record.status() != MemberStatus::Dead);
-                if probed {
+                if may_probe {
                     let sequence = self.next_sequence();
                     self.probe = Some(Probe { target, sequence, sent: now, indirect: false });
                     self.send(target, sequence, 0, false, actions);
@@ -91,10 +92,10 @@
                 }
             }
             let region = self.me.region.clone();
-            let mut round: Vec<NodeId> =
+            let mut probe_round: Vec<NodeId> =
                 self.members.iter().filter(|(_, member)| member.record.region == region).map(|(id, _)| *id).collect();
-            round.shuffle(&mut self.random);
-            self.round = round;
+            probe_round.shuffle(&mut self.random);
+            self.probe_round = probe_round;
         }
     }
 
@@ -121,8 +122,8 @@
 
     pub(super) fn is_relay_for(&self, region: &str) -> bool {
         let name = stable_hash(region.as_bytes());
-        let near = self.live().filter(|record| self.same_region(record)).map(|record| NodeId(record.node));
-        is_among_first(NodeId(self.me.node), name, near, RELAYS)
+        let in_region = self.live().filter(|record| self.same_region(record)).map(|record| NodeId(record.node));
+        is_among_first(NodeId(self.me.node), name, in_region, RELAYS)
     }
 
     pub(super) fn reconnect(&mut self, actions: &mut Vec<Action>) {
--- a/crates/core/src/membership/records.rs
+++ b/crates/core/src/membership/records.rs
@@ -7,7 +7,7 @@
 use latchwheel_protocol::v1::{MemberRecord, MemberStatus};
 
 impl Membership {
-    pub(super) fn seed(&mut self, now: Instant, records: Vec<MemberRecord>, actions: &mut Vec<Action>) {
+    pub(super) fn add_seeds(&mut self, now: Instant, records: Vec<MemberRecord>, actions: &mut Vec<Action>) {
         for record in records {
             let node = NodeId(record.node);
             if record.node == self.me.node || self.members.contains_key(&node) {
@@ -16,10 +16,10 @@
             // A seed is only a hint of whom to ask: it is known as alive at
             // incarnation zero and confirmed or suspected like any other.
             let record = MemberRecord { incarnation: 0, status: MemberStatus::Alive.into(), ..record };
-            let near = record.region == self.me.region;
-            self.members.insert(node, Member { record: record.clone(), since: now });
+            let in_region = record.region == self.me.region;
+            self.members.insert(node, Member { record: record.clone(), status_since: now });
             actions.push(Action::Changed(record));
-            if near {
+            if in_region {
                 let sequence = self.next_sequence();
                 self.send_with(node, sequence, 0, false, true, actions);
             }
@@ -29,20 +29,20 @@
     pub(super) fn leave(&mut self, actions: &mut Vec<Action>) {
         self.me.status = MemberStatus::Leaving.into();
         self.me.incarnation += 1;
-        self.own_tells = 0;
-        let near: Vec<NodeId> = self
+        self.own_sends = 0;
+        let in_region: Vec<NodeId> = self
             .members
             .iter()
             .filter(|(_, member)| self.same_region(&member.record) && is_live(member.record.status()))
             .map(|(id, _)| *id)
             .collect();
-        for node in near {
-            self.own_tells = 0;
+        for node in in_region {
+            self.own_sends = 0;
             self.send(node, 0, 0, true, actions);
         }
     }
 
-    pub(super) fn take_record(&mut self, now: Instant, record: MemberRecord, actions: &mut Vec<Action>) {
+    pub(super) fn merge_record(&mut self, now: Instant, record: MemberRecord, actions: &mut Vec<Action>) {
         if record.node == self.me.node {
             self.refute(&record, actions);
             return;
@@ -67,10 +67,10 @@
             MemberStatus::Suspect => self.suspects.insert(node),
             _ => self.suspects.remove(&node),
         };
-        self.members.insert(node, Member { record: record.clone(), since: now });
-        self.untold.retain(|(_, told)| *told != node);
+        self.members.insert(node, Member { record: record.clone(), status_since: now });
+        self.pending_updates.retain(|(_, pending)| *pending != node);
         if record.region == self.me.region {
-            self.untold.insert((0, node));
+            self.pending_updates.insert((0, node));
         }
         if changed {
             actions.push(Action::Changed(record));
@@ -83,8 +83,8 @@
         let wrong_status = record.status != self.me.status;
         if record.incarnation >= self.me.incarnation && (wrong_status || record.incarnation > self.me.incarnation) {
             self.me.incarnation = record.incarnation + 1;
-            self.own_tells = 0;
-            self.tell_some(actions);
+            self.own_sends = 0;
+            self.gossip_now(actions);
         }
     }
 }
--- a/crates/core/src/record_source.rs
+++ b/crates/core/src/record_source.rs
@@ -29,24 +29,24 @@
 pub const OUTAGE_LIMIT: Duration = Duration::from_millis(300);
 /// Time in which a node that starts waits for an upstream that starts too. A
 /// longer one only delays nodes whose upstream has more to tell than it can.
-const START_PATIENCE: Duration = Duration::from_millis(1000);
+const START_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Pause between two polls while starting.
-const START_PAUSE: Duration = Duration::from_millis(80);
+const START_BACKOFF: Duration = Duration::from_millis(80);
 /// The same where upstreams tell that what is missing comes later: they have a
 /// listing under way, or lists to send to many nodes that started together. The store
 /// has no more room for the lists of all nodes than they: 50 calls a node where there
 /// are 10,000 servers.
 pub const DEFERRAL_PATIENCE: Duration = Duration::from_secs(20);
 /// Longest pause between two polls while starting.
-const LONGEST_START_PAUSE: Duration = Duration::from_millis(640);
+const MAX_START_BACKOFF: Duration = Duration::from_millis(640);
 /// Time for which upstreams that are behind the node itself, and sound otherwise, are
 /// waited for. One whose watch of the store lives hears of changes within half of it.
 pub const CATCH_UP_PATIENCE: Duration = Duration::from_millis(1000);
 /// Upstreams that must fail in a row before a node turns to the store.
 const FAILURES_BEFORE_STORE: u32 = 2;
 /// Pause after a failed poll, doubled at each failure in a row.
-const FIRST_PAUSE: Duration = Duration::from_millis(250);
-const LONGEST_PAUSE: Duration = Duration::from_secs(4);
+const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
 /// Where followed records come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -107,13 +107,13 @@
 #[derive(Clone, Debug)]
 pub struct SourceChoice {
     upstreams: usize,
-    turn: usize,
+    next_upstream: usize,
     source: RecordSource,
     started: Instant,
     /// Polls in a row without an upstream that can be relied on.
     failures: u32,
     /// Those of them that were not answered at all.
-    silences: u32,
+    unanswered: u32,
     /// Since when upstreams are behind the node.
     behind_since: Option<Instant>,
 }
@@ -123,8 +123,8 @@
     /// different upstreams. Without upstreams the store is the source.
     pub fn new(upstreams: usize, spread: u64, now: Instant) -> Self {
         let source = if upstreams == 0 { RecordSource::Store } else { RecordSource::Undecided };
-        let turn = spread.checked_rem(upstreams as u64).unwrap_or(0) as usize;
-        Self { upstreams, turn, source, started: now, failures: 0, silences: 0, behind_since: None }
+        let next_upstream = spread.checked_rem(upstreams as u64).unwrap_or(0) as usize;
+        Self { upstreams, next_upstream, source, started: now, failures: 0, unanswered: 0, behind_since: None }
     }
 
     /// The present source.
@@ -134,7 +134,7 @@
 
     /// Number of the upstream to poll next; `None` if there is none.
     pub fn upstream(&self) -> Option<usize> {
-        (self.upstreams > 0).then_some(self.turn)
+        (self.upstreams > 0).then_some(self.next_upstream)
     }
 
     /// What the next poll waits for. Once no upstream could be relied on, the
@@ -157,61 +157,61 @@
     pub fn note_answer(&mut self, now: Instant, state: &UpstreamState) -> Duration {
         if state.is_sound() {
             self.source = RecordSource::Upstream;
-            (self.failures, self.silences) = (0, 0);
+            (self.failures, self.unanswered) = (0, 0);
             self.behind_since = None;
             return Duration::ZERO;
         }
-        if state.is_only_behind() && self.may_catch_up(now) {
+        if state.is_only_behind() && self.may_still_catch_up(now) {
             return Duration::ZERO;
         }
-        if self.may_wait_for(state, now) {
-            self.turn = (self.turn + 1) % self.upstreams.max(1);
+        if self.should_keep_waiting(state, now) {
+            self.next_upstream = (self.next_upstream + 1) % self.upstreams.max(1);
             self.failures = self.failures.saturating_add(1);
             let rounds = self.failures / self.upstreams.max(1) as u32;
-            return doubled_pause(START_PAUSE, LONGEST_START_PAUSE, rounds);
+            return doubled_pause(START_BACKOFF, MAX_START_BACKOFF, rounds);
         }
-        let held = self.poll_wait() == PollWait::Soundness && state.complete;
-        if held {
-            self.silences = 0;
+        let upstream_held_poll = self.poll_wait() == PollWait::Soundness && state.complete;
+        if upstream_held_poll {
+            self.unanswered = 0;
         }
-        let pause = self.leave_upstream(now);
-        if held {
+        let backoff = self.switch_upstream(now);
+        if upstream_held_poll {
             Duration::ZERO
         } else {
-            pause
+            backoff
         }
     }
 
     /// Whether an upstream that is behind is asked again before it is left. Those that are
     /// behind one after the other share the time.
-    fn may_catch_up(&mut self, now: Instant) -> bool {
+    fn may_still_catch_up(&mut self, now: Instant) -> bool {
         let since = *self.behind_since.get_or_insert(now);
         now.since(since) < CATCH_UP_PATIENCE
     }
 
     /// Whether a node that starts goes on asking upstreams, one of which is in this
     /// state.
-    fn may_wait_for(&self, state: &UpstreamState, now: Instant) -> bool {
-        let starts = self.source == RecordSource::Undecided && now.since(self.started) < DEFERRAL_PATIENCE;
-        starts && state.defers && !state.store_is_away()
+    fn should_keep_waiting(&self, state: &UpstreamState, now: Instant) -> bool {
+        let starting = self.source == RecordSource::Undecided && now.since(self.started) < DEFERRAL_PATIENCE;
+        starting && state.defers && !state.store_is_away()
     }
 
     /// An upstream gave no answer. Gives back the pause before the next poll.
     pub fn note_failure(&mut self, now: Instant) -> Duration {
-        self.silences = self.silences.saturating_add(1);
-        self.leave_upstream(now)
+        self.unanswered = self.unanswered.saturating_add(1);
+        self.switch_upstream(now)
     }
 
     /// Goes on to the next upstream, and to the store where two in a row can't be
     /// relied on. Gives back the pause before the next poll.
-    fn leave_upstream(&mut self, now: Instant) -> Duration {
-        self.turn = (self.turn + 1) % self.upstreams.max(1);
+    fn switch_upstream(&mut self, now: Instant) -> Duration {
+        self.next_upstream = (self.next_upstream + 1) % self.upstreams.max(1);
         self.failures = self.failures.saturating_add(1);
-        if self.source == RecordSource::Undecided && now.since(self.started) < START_PATIENCE {
-            return START_PAUSE;
+        if self.source == RecordSource::Undecided && now.since(self.started) < START_TIMEOUT {
+            return START_BACKOFF;
         }
-        let others = self.upstreams > 1;
-        if self.source == RecordSource::Upstream && others && self.failures < FAILURES_BEFORE_STORE {
+        let has_others = self.upstreams > 1;
+        if self.source == RecordSource::Upstream && has_others && self.failures < FAILURES_BEFORE_STORE {
             return Duration::ZERO;
         }
         self.source = RecordSource::Store;
@@ -220,7 +220,7 @@
         if self.failures <= self.upstreams as u32 {
             return Duration::ZERO;
         }
-        let rounds = self.silences.saturating_sub(self.upstreams as u32);
-        doubled_pause(FIRST_PAUSE, LONGEST_PAUSE, rounds.saturating_sub(1))
+        let rounds = self.unanswered.saturating_sub(self.upstreams as u32);
+        doubled_pause(INITIAL_BACKOFF, MAX_BACKOFF, rounds.saturating_sub(1))
     }
 }
--- a/crates/core/src/replication/election.rs
+++ b/crates/core/src/replication/election.rs
@@ -9,7 +9,7 @@
 
 impl Replication {
     pub(super) fn start_election(&mut self, now: Instant, probe: bool, transfer: bool, actions: &mut Vec<Action>) {
-        self.set_election_due(now);
+        self.reset_election_deadline(now);
         self.leader = 0;
         self.votes = BTreeSet::from([self.me]);
         if probe {
@@ -49,7 +49,7 @@
         self.reads.clear();
         self.peers.clear();
         self.sync_peers(now);
-        self.set_election_due(now);
+        self.reset_election_deadline(now);
         actions.push(Action::Elected(self.hard.term));
         // An entry of its own term lets the leader commit what came before.
         self.append_local(now, EntryKind::Nothing, bytes::Bytes::new(), actions);
@@ -81,7 +81,7 @@
         }
         self.role = Role::Follower;
         self.leader = leader;
-        self.set_election_due(now);
+        self.reset_election_deadline(now);
     }
 
     pub(super) fn receive(&mut self, now: Instant, message: ReplicationMessage, actions: &mut Vec<Action>) {
@@ -92,25 +92,25 @@
         let is_probe = matches!(&body, Body::VoteRequest(request) if request.probe)
             || matches!(&body, Body::VoteAnswer(answer) if answer.probe);
         if message.term > self.hard.term && !is_probe {
-            let undue = matches!(&body, Body::VoteRequest(request) if !request.transfer);
-            if undue && self.leader_is_fresh(now) {
+            let may_disrupt = matches!(&body, Body::VoteRequest(request) if !request.transfer);
+            if may_disrupt && self.has_recent_leader(now) {
                 return;
             }
             self.become_follower(now, message.term, 0, actions);
         }
         let stale = message.term < self.hard.term;
         match body {
-            Body::VoteRequest(request) => self.vote(now, message.from, message.term, request, actions),
-            Body::VoteAnswer(answer) => self.note_vote(now, message.from, message.term, answer, actions),
-            Body::Append(append) if stale => self.refuse_stale(message.from, append.round, actions),
-            Body::SnapshotOffer(_) if stale => self.refuse_stale(message.from, 0, actions),
-            Body::Append(append) => self.append(now, message.from, append, actions),
-            Body::SnapshotOffer(offer) => self.snapshot_offered(now, message.from, offer, actions),
+            Body::VoteRequest(request) => self.handle_vote_request(now, message.from, message.term, request, actions),
+            Body::VoteAnswer(answer) => self.handle_vote_answer(now, message.from, message.term, answer, actions),
+            Body::Append(append) if stale => self.reject_stale(message.from, append.round, actions),
+            Body::SnapshotOffer(_) if stale => self.reject_stale(message.from, 0, actions),
+            Body::Append(append) => self.handle_append(now, message.from, append, actions),
+            Body::SnapshotOffer(offer) => self.handle_snapshot_offer(now, message.from, offer, actions),
             _ if stale => {}
-            Body::AppendAnswer(answer) => self.note_append(now, message.from, answer, actions),
-            Body::SnapshotAnswer(answer) => self.note_snapshot(now, message.from, answer, actions),
+            Body::AppendAnswer(answer) => self.handle_append_answer(now, message.from, answer, actions),
+            Body::SnapshotAnswer(answer) => self.handle_snapshot_answer(now, message.from, answer, actions),
             Body::Transfer(Transfer {}) => {
-                if self.is_voter() && !self.pulling {
+                if self.is_voter() && !self.pulling_state {
                     self.start_election(now, false, true, actions);
                 }
             }
@@ -119,32 +119,39 @@
 
     /// Whether a leader was heard within the least election timeout; then no
     /// vote is given, so that a replica that was cut off can't disturb.
-    pub(super) fn leader_is_fresh(&self, now: Instant) -> bool {
-        let fresh = |heard: Instant| now.since(heard) < self.settings.election_timeout;
-        self.role == Role::Leader || (self.leader != 0 && self.leader_heard.is_some_and(fresh))
+    pub(super) fn has_recent_leader(&self, now: Instant) -> bool {
+        let is_recent = |contact: Instant| now.since(contact) < self.settings.election_timeout;
+        self.role == Role::Leader || (self.leader != 0 && self.last_leader_contact.is_some_and(is_recent))
     }
 
-    pub(super) fn vote(&mut self, now: Instant, from: u64, term: u64, request: VoteRequest, actions: &mut Vec<Action>) {
-        let recent_log = (request.last_term, request.last_index) >= (self.log.last_term(), self.log.last_index());
+    pub(super) fn handle_vote_request(
+        &mut self,
+        now: Instant,
+        from: u64,
+        term: u64,
+        request: VoteRequest,
+        actions: &mut Vec<Action>,
+    ) {
+        let log_is_current = (request.last_term, request.last_index) >= (self.log.last_term(), self.log.last_index());
         if request.probe {
-            let granted = term > self.hard.term && recent_log && !self.leader_is_fresh(now);
+            let granted = term > self.hard.term && log_is_current && !self.has_recent_leader(now);
             let answer_term = if granted { term } else { self.hard.term };
             let answer = VoteAnswer { granted, probe: true };
             self.send_with_term(from, answer_term, Body::VoteAnswer(answer), actions);
             return;
         }
         let free = self.hard.voted_for == 0 || self.hard.voted_for == from;
-        let granted = term == self.hard.term && free && recent_log;
+        let granted = term == self.hard.term && free && log_is_current;
         if granted {
             self.hard.voted_for = from;
-            self.set_election_due(now);
+            self.reset_election_deadline(now);
             // The vote must be persisted before it is told.
             actions.push(Action::Persist(self.hard, None, Vec::new()));
         }
         self.send(from, Body::VoteAnswer(VoteAnswer { granted, probe: false }), actions);
     }
 
-    pub(super) fn note_vote(
+    pub(super) fn handle_vote_answer(
         &mut self,
         now: Instant,
         from: u64,
@@ -165,17 +172,19 @@
         }
     }
 
-    pub(super) fn hand_over(&mut self, actions: &mut Vec<Action>) {
+    pub(super) fn transfer_leadership(&mut self, actions: &mut Vec<Action>) {
         if self.role != Role::Leader {
             return;
         }
         let last = self.log.last_index();
-        let heir = self
+        let successor = self
             .voters()
             .filter(|replica| *replica != self.me)
             .max_by_key(|replica| self.peers.get(replica).map_or(0, |peer| peer.matched));
-        if let Some(heir) = heir.filter(|heir| self.peers.get(heir).is_some_and(|peer| peer.matched == last)) {
-            self.send(heir, Body::Transfer(Transfer {}), actions);
+        if let Some(successor) =
+            successor.filter(|successor| self.peers.get(successor).is_some_and(|peer| peer.matched == last))
+        {
+            self.send(successor, Body::Transfer(Transfer {}), actions);
         }
     }
 }
--- a/crates/core/src/replication/follower.rs
+++ b/crates/core/src/replication/follower.rs
@@ -6,28 +6,28 @@
 use latchwheel_protocol::v1::{Append, AppendAnswer, SnapshotAnswer, SnapshotOffer};
 
 impl Replication {
-    pub(super) fn refuse_stale(&self, to: u64, round: u64, actions: &mut Vec<Action>) {
+    pub(super) fn reject_stale(&self, to: u64, round: u64, actions: &mut Vec<Action>) {
         let answer = AppendAnswer { accepted: false, last_index: self.log.last_index(), round };
         self.send(to, Body::AppendAnswer(answer), actions);
     }
 
-    pub(super) fn follow(&mut self, now: Instant, leader: u64, actions: &mut Vec<Action>) {
+    pub(super) fn note_leader(&mut self, now: Instant, leader: u64, actions: &mut Vec<Action>) {
         if self.role != Role::Follower || self.leader != leader {
             self.become_follower(now, self.hard.term, leader, actions);
         }
-        self.leader_heard = Some(now);
-        self.set_election_due(now);
+        self.last_leader_contact = Some(now);
+        self.reset_election_deadline(now);
     }
 
-    pub(super) fn append(&mut self, now: Instant, from: u64, append: Append, actions: &mut Vec<Action>) {
-        self.follow(now, from, actions);
-        if self.pulling {
+    pub(super) fn handle_append(&mut self, now: Instant, from: u64, append: Append, actions: &mut Vec<Action>) {
+        self.note_leader(now, from, actions);
+        if self.pulling_state {
             return;
         }
         let round = append.round;
         let previous = self.log.term_at(append.previous_index);
-        let known = append.previous_index < self.log.base().index;
-        if previous != Some(append.previous_term) && !known {
+        let compacted = append.previous_index < self.log.base().index;
+        if previous != Some(append.previous_term) && !compacted {
             let hint = append.previous_index.saturating_sub(1).min(self.log.last_index());
             let answer = AppendAnswer { accepted: false, last_index: hint.max(self.commit), round };
             self.send(from, Body::AppendAnswer(answer), actions);
@@ -51,24 +51,24 @@
         self.send(from, Body::AppendAnswer(AppendAnswer { accepted: true, last_index: matched, round }), actions);
     }
 
-    pub(super) fn snapshot_offered(
+    pub(super) fn handle_snapshot_offer(
         &mut self,
         now: Instant,
         from: u64,
         offer: SnapshotOffer,
         actions: &mut Vec<Action>,
     ) {
-        self.follow(now, from, actions);
+        self.note_leader(now, from, actions);
         if offer.index <= self.commit {
             self.send(from, Body::SnapshotAnswer(SnapshotAnswer { index: self.commit }), actions);
-        } else if !self.pulling {
-            self.pulling = true;
+        } else if !self.pulling_state {
+            self.pulling_state = true;
             actions.push(Action::PullState(from));
         }
     }
 
     pub(super) fn state_installed(&mut self, base: LogBase, actions: &mut Vec<Action>) {
-        self.pulling = false;
+        self.pulling_state = false;
         if base.index <= self.commit {
             return;
         }
--- a/crates/core/src/replication/leader.rs
+++ b/crates/core/src/replication/leader.rs
@@ -22,8 +22,8 @@
     pub(super) fn propose_members(&mut self, now: Instant, members: Members, actions: &mut Vec<Action>) {
         // One change at a time, and only once an entry of the own term is
         // committed; else two majorities could be disjoint.
-        let settled = self.commit >= self.log.members_index() && self.commit >= self.elected_index;
-        if self.role != Role::Leader || !settled || voter_changes(self.members(), &members) > 1 {
+        let may_change = self.commit >= self.log.members_index() && self.commit >= self.elected_index;
+        if self.role != Role::Leader || !may_change || voter_changes(self.members(), &members) > 1 {
             return;
         }
         let payload = members.encode_to_vec().into();
@@ -114,12 +114,18 @@
         let base = self.log.base();
         let offer = SnapshotOffer { index: base.index, entry_term: base.term, members: Some(base.members.clone()) };
         let Some(peer) = self.peers.get_mut(&replica) else { return };
-        if peer.may_offer(now, timeout) {
+        if peer.may_offer_snapshot(now, timeout) {
             self.send(replica, Body::SnapshotOffer(offer), actions);
         }
     }
 
-    pub(super) fn note_append(&mut self, now: Instant, from: u64, answer: AppendAnswer, actions: &mut Vec<Action>) {
+    pub(super) fn handle_append_answer(
+        &mut self,
+        now: Instant,
+        from: u64,
+        answer: AppendAnswer,
+        actions: &mut Vec<Action>,
+    ) {
         if self.role != Role::Leader {
             return;
         }
@@ -133,7 +139,13 @@
         self.send_append(now, from, false, actions);
     }
 
-    pub(super) fn note_snapshot(&mut self, now: Instant, from: u64, answer: SnapshotAnswer, actions: &mut Vec<Action>) {
+    pub(super) fn handle_snapshot_answer(
+        &mut self,
+        now: Instant,
+        from: u64,
+        answer: SnapshotAnswer,
+        actions: &mut Vec<Action>,
+    ) {
         if self.role != Role::Leader {
             return;
         }
@@ -163,7 +175,7 @@
             peers: &self.peers,
             rule: self.settings.ack_rule,
             now,
-            window: self.settings.election_timeout,
+            reachable_window: self.settings.election_timeout,
         };
         let committed = tally.committed();
         let acknowledged = tally.acknowledged();
@@ -189,7 +201,7 @@
     /// Applies what is committed and on the own disk.
     pub(super) fn apply_committed(&mut self, actions: &mut Vec<Action>) {
         let end = self.commit.min(self.persisted);
-        if end > self.applied && !self.pulling {
+        if end > self.applied && !self.pulling_state {
             let entries = self.log.range(self.applied + 1, end);
             self.applied = end;
             actions.push(Action::Apply(entries));
--- a/crates/core/src/replication/mod.rs
+++ b/crates/core/src/replication/mod.rs
@@ -181,13 +181,13 @@
     persisted: u64,
     peers: BTreeMap<u64, Progress>,
     votes: BTreeSet<u64>,
-    election_due: Instant,
+    election_deadline: Instant,
     heartbeat_due: Instant,
-    leader_heard: Option<Instant>,
+    last_leader_contact: Option<Instant>,
     elected_index: u64,
     round: u64,
     reads: VecDeque<PendingRead>,
-    pulling: bool,
+    pulling_state: bool,
     random: SmallRng,
 }
 
@@ -212,16 +212,16 @@
             persisted,
             peers: BTreeMap::new(),
             votes: BTreeSet::new(),
-            election_due: now,
+            election_deadline: now,
             heartbeat_due: now,
-            leader_heard: None,
+            last_leader_contact: None,
             elected_index: 0,
             round: 0,
             reads: VecDeque::new(),
-            pulling: false,
+            pulling_state: false,
             random: SmallRng::seed_from_u64(seed),
         };
-        replica.set_election_due(now);
+        replica.reset_election_deadline(now);
         replica
     }
 
@@ -262,14 +262,15 @@
 
     /// Voters that have answered this leader lately, itself included.
     pub fn reachable(&self, now: Instant) -> Vec<u64> {
-        let window = self.settings.election_timeout;
-        let heard = |replica: &u64| self.peers.get(replica).is_some_and(|peer| peer.heard_within(now, window));
-        self.voters().filter(|replica| *replica == self.me || heard(replica)).collect()
+        let reachable_window = self.settings.election_timeout;
+        let responded =
+            |replica: &u64| self.peers.get(replica).is_some_and(|peer| peer.responded_within(now, reachable_window));
+        self.voters().filter(|replica| *replica == self.me || responded(replica)).collect()
     }
 
     /// Learners that have caught up, for promotion.
     pub fn caught_up_learners(&self) -> Vec<u64> {
-        let near = |id: &u64| {
+        let has_caught_up = |id: &u64| {
             self.peers
                 .get(id)
                 .is_some_and(|peer| peer.matched > 0 && peer.matched + PROMOTION_LAG >= self.log.last_index())
@@ -279,7 +280,7 @@
             .iter()
             .filter(|replica| !replica.voter)
             .map(|replica| replica.replica)
-            .filter(near)
+            .filter(has_caught_up)
             .collect()
     }
 
@@ -295,7 +296,7 @@
             Event::Read(identity) => self.read(now, identity, &mut actions),
             Event::StateInstalled(base) => self.state_installed(base, &mut actions),
             Event::Compact(index) => self.log.compact(index.min(self.applied)),
-            Event::TransferLeadership => self.hand_over(&mut actions),
+            Event::TransferLeadership => self.transfer_leadership(&mut actions),
         }
         actions
     }
@@ -312,10 +313,10 @@
         self.voters().count() / 2 + 1
     }
 
-    fn set_election_due(&mut self, now: Instant) {
-        let least = self.settings.election_timeout;
-        let extra = self.random.random_range(0..least.as_micros() as u64);
-        self.election_due = now + least + Duration::from_micros(extra);
+    fn reset_election_deadline(&mut self, now: Instant) {
+        let minimum = self.settings.election_timeout;
+        let extra = self.random.random_range(0..minimum.as_micros() as u64);
+        self.election_deadline = now + minimum + Duration::from_micros(extra);
     }
 
     fn send(&self, to: u64, body: Body, actions: &mut Vec<Action>) {
@@ -329,7 +330,7 @@
 
     fn tick(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if self.role == Role::Leader {
-            if self.reachable(now).len() < self.quorum() && now >= self.election_due {
+            if self.reachable(now).len() < self.quorum() && now >= self.election_deadline {
                 // Check-quorum: a leader that is cut off stops answering.
                 self.become_follower(now, self.hard.term, 0, actions);
                 return;
@@ -337,14 +338,14 @@
             if now >= self.heartbeat_due {
                 self.heartbeat(now, actions);
             }
-        } else if now >= self.election_due && self.is_voter() && !self.pulling {
+        } else if now >= self.election_deadline && self.is_voter() && !self.pulling_state {
             self.start_election(now, true, false, actions);
         }
     }
 
     /// The pull of the state failed; it is offered again.
     pub fn state_pull_failed(&mut self) {
-        self.pulling = false;
+        self.pulling_state = false;
     }
 
     /// The base that a log without the entries up to an index begins with,
--- a/crates/core/src/replication/progress.rs
+++ b/crates/core/src/replication/progress.rs
@@ -16,23 +16,23 @@
     pub(super) matched: u64,
     pub(super) in_flight: u64,
     pub(super) round: u64,
-    heard: Instant,
-    offered: Option<Instant>,
+    last_response: Instant,
+    last_offer: Option<Instant>,
 }
 
 impl Progress {
     pub(super) fn new(next: u64, now: Instant) -> Self {
-        Self { next, matched: 0, in_flight: 0, round: 0, heard: now, offered: None }
+        Self { next, matched: 0, in_flight: 0, round: 0, last_response: now, last_offer: None }
     }
 
-    pub(super) fn heard_within(&self, now: Instant, window: Duration) -> bool {
-        now.since(self.heard) < window
+    pub(super) fn responded_within(&self, now: Instant, reachable_window: Duration) -> bool {
+        now.since(self.last_response) < reachable_window
     }
 
     /// Before a heartbeat: if nothing was heard for long, appends under way
     /// are taken for lost and sent again from what is known to have arrived.
     pub(super) fn note_heartbeat(&mut self, now: Instant, timeout: Duration) {
-        if self.in_flight > 0 && !self.heard_within(now, timeout / 2) {
+        if self.in_flight > 0 && !self.responded_within(now, timeout / 2) {
             self.in_flight = 0;
             if self.matched > 0 {
                 self.next = self.matched + 1;
@@ -41,7 +41,7 @@
     }
 
     pub(super) fn note_answer(&mut self, now: Instant, answer: &AppendAnswer, last: u64) {
-        self.heard = now;
+        self.last_response = now;
         self.round = self.round.max(answer.round);
         if answer.accepted {
             self.in_flight = self.in_flight.saturating_sub(1);
@@ -53,18 +53,18 @@
         }
     }
 
-    pub(super) fn may_offer(&mut self, now: Instant, interval: Duration) -> bool {
-        let due = self.offered.is_none_or(|offered| now.since(offered) >= interval);
+    pub(super) fn may_offer_snapshot(&mut self, now: Instant, interval: Duration) -> bool {
+        let due = self.last_offer.is_none_or(|last_offer| now.since(last_offer) >= interval);
         if due {
-            self.offered = Some(now);
+            self.last_offer = Some(now);
         }
         due
     }
 
     pub(super) fn note_snapshot(&mut self, now: Instant, index: u64) {
-        self.heard = now;
+        self.last_response = now;
         self.in_flight = 0;
-        self.offered = None;
+        self.last_offer = None;
         self.matched = self.matched.max(index);
         self.next = self.matched + 1;
     }
@@ -98,7 +98,7 @@
     pub(super) peers: &'a BTreeMap<u64, Progress>,
     pub(super) rule: AckRule,
     pub(super) now: Instant,
-    pub(super) window: Duration,
+    pub(super) reachable_window: Duration,
 }
 
 impl Tally<'_> {
@@ -123,11 +123,11 @@
         })
     }
 
-    fn highest(&self, holds: impl Fn(u64) -> bool) -> u64 {
+    fn highest(&self, condition: impl Fn(u64) -> bool) -> u64 {
         let voters = self.members.replicas.iter().filter(|replica| replica.voter);
         let mut indexes: Vec<u64> = voters.map(|replica| self.matched(replica.replica)).collect();
         indexes.sort_unstable();
-        indexes.into_iter().rev().find(|index| holds(*index)).unwrap_or(0)
+        indexes.into_iter().rev().find(|index| condition(*index)).unwrap_or(0)
     }
 
     fn copies(&self, index: u64) -> Copies<'_> {
@@ -146,6 +146,7 @@
     }
 
     fn is_reachable(&self, replica: u64) -> bool {
-        replica == self.me || self.peers.get(&replica).is_some_and(|peer| peer.heard_within(self.now, self.window))
+        replica == self.me
+            || self.peers.get(&replica).is_some_and(|peer| peer.responded_within(self.now, self.reachable_window))
     }
 }
--- a/crates/core/src/replication/replacement.rs
+++ b/crates/core/src/replication/replacement.rs
@@ -24,26 +24,26 @@
 }
 
 /// The members after the next change, or `None` where nothing is to do.
-pub fn next_members(situation: GroupHealth<'_>) -> Option<Members> {
-    let replicas = &situation.members.replicas;
-    let is_lost = |replica: &&Replica| situation.lost.contains(&replica.replica);
+pub fn next_members(health: GroupHealth<'_>) -> Option<Members> {
+    let replicas = &health.members.replicas;
+    let is_lost = |replica: &&Replica| health.lost.contains(&replica.replica);
     let voters = replicas.iter().filter(|replica| replica.voter).count();
     let lost_voters = replicas.iter().filter(|replica| replica.voter).filter(is_lost).count();
     if let Some(learner) = replicas.iter().find(|replica| !replica.voter && is_lost(replica)) {
-        return Some(without(situation.members, learner.replica));
+        return Some(without(health.members, learner.replica));
     }
-    if voters > situation.wanted {
+    if voters > health.wanted {
         let lost = replicas.iter().filter(|replica| replica.voter).find(is_lost);
-        let removed = lost.map(|replica| replica.replica).or_else(|| most_crowded(&situation))?;
-        return Some(without(situation.members, removed));
+        let removed = lost.map(|replica| replica.replica).or_else(|| voter_in_largest_zone(&health))?;
+        return Some(without(health.members, removed));
     }
-    if voters < situation.wanted || lost_voters > 0 || can_spread(&situation) {
-        if let Some(learner) = situation.caught_up.first() {
-            return Some(with_voter(situation.members, *learner));
+    if voters < health.wanted || lost_voters > 0 || can_improve_spread(&health) {
+        if let Some(learner) = health.caught_up.first() {
+            return Some(with_voter(health.members, *learner));
         }
         let learners = replicas.len() - voters;
         if learners == 0 {
-            return successor(&situation).map(|replica| with_learner(situation.members, replica));
+            return next_learner(&health).map(|replica| with_learner(health.members, replica));
         }
     }
     None
@@ -51,42 +51,41 @@
 
 /// Whether a zone holds two voters while a replica of a zone without any
 /// member is present.
-fn can_spread(situation: &GroupHealth<'_>) -> bool {
-    let zones = voters_by_zone(situation);
-    let empty_zone = |replica: &&Replica| situation.members.replicas.iter().all(|member| member.zone != replica.zone);
+fn can_improve_spread(health: &GroupHealth<'_>) -> bool {
+    let zones = voters_by_zone(health);
+    let empty_zone = |replica: &&Replica| health.members.replicas.iter().all(|member| member.zone != replica.zone);
     let learner_elsewhere =
-        situation.members.replicas.iter().any(|member| !member.voter && !zones.contains_key(member.zone.as_str()));
-    zones.values().any(|count| *count > 1) && (learner_elsewhere || situation.present.iter().any(|r| empty_zone(&r)))
+        health.members.replicas.iter().any(|member| !member.voter && !zones.contains_key(member.zone.as_str()));
+    zones.values().any(|count| *count > 1) && (learner_elsewhere || health.present.iter().any(|r| empty_zone(&r)))
 }
 
-fn voters_by_zone<'a>(situation: &GroupHealth<'a>) -> BTreeMap<&'a str, usize> {
+fn voters_by_zone<'a>(health: &GroupHealth<'a>) -> BTreeMap<&'a str, usize> {
     let mut zones: BTreeMap<&str, usize> = BTreeMap::new();
-    for replica in situation.members.replicas.iter().filter(|replica| replica.voter) {
+    for replica in health.members.replicas.iter().filter(|replica| replica.voter) {
         *zones.entry(&replica.zone).or_default() += 1;
     }
     zones
 }
 
 /// A voter of the zone that has the most, but not the leader.
-fn most_crowded(situation: &GroupHealth<'_>) -> Option<u64> {
-    let zones = voters_by_zone(situation);
-    let others =
-        situation.members.replicas.iter().filter(|replica| replica.voter && replica.replica != situation.leader);
+fn voter_in_largest_zone(health: &GroupHealth<'_>) -> Option<u64> {
+    let zones = voters_by_zone(health);
+    let others = health.members.replicas.iter().filter(|replica| replica.voter && replica.replica != health.leader);
     others
         .max_by_key(|replica| (zones.get(replica.zone.as_str()).copied(), replica.replica))
         .map(|replica| replica.replica)
 }
 
 /// A present replica that is no member, in the zone with the fewest members.
-fn successor<'a>(situation: &GroupHealth<'a>) -> Option<&'a Replica> {
+fn next_learner<'a>(health: &GroupHealth<'a>) -> Option<&'a Replica> {
     let mut by_zone: BTreeMap<&str, usize> = BTreeMap::new();
-    let members: BTreeSet<u64> = situation.members.replicas.iter().map(|replica| replica.replica).collect();
-    for replica in &situation.members.replicas {
-        if !situation.lost.contains(&replica.replica) {
+    let members: BTreeSet<u64> = health.members.replicas.iter().map(|replica| replica.replica).collect();
+    for replica in &health.members.replicas {
+        if !health.lost.contains(&replica.replica) {
             *by_zone.entry(&replica.zone).or_default() += 1;
         }
     }
-    situation
+    health
         .present
         .iter()
         .filter(|replica| !members.contains(&replica.replica))
@@ -98,8 +97,8 @@
     let mut members = Members::default();
     let lost = BTreeSet::new();
     while members.replicas.len() < wanted {
-        let situation = GroupHealth { members: &members, present, lost: &lost, caught_up: &[], wanted, leader: 0 };
-        let Some(replica) = successor(&situation).cloned() else { break };
+        let health = GroupHealth { members: &members, present, lost: &lost, caught_up: &[], wanted, leader: 0 };
+        let Some(replica) = next_learner(&health).cloned() else { break };
         members.replicas.push(Replica { voter: true, ..replica });
     }
     members
--- a/crates/core/tests/replication.rs
+++ b/crates/core/tests/replication.rs
@@ -238,7 +238,7 @@
     for _ in 0..4 {
         let caught_up: Vec<u64> =
             current.replicas.iter().filter(|replica| !replica.voter).map(|replica| replica.replica).collect();
-        let situation = GroupHealth {
+        let health = GroupHealth {
             members: &current,
             present: &present,
             lost: &lost,
@@ -246,7 +246,7 @@
             wanted: 3,
             leader: 1,
         };
-        let Some(next) = next_members(situation) else { break };
+        let Some(next) = next_members(health) else { break };
         let voters = next.replicas.iter().filter(|replica| replica.voter).count();
         steps.push((next.replicas.len(), voters));
         current = next;
@@ -260,7 +260,7 @@
 fn two_voters_of_a_zone_are_spread_once_another_zone_has_a_replica() {
     let current = members(&["a", "a", "b"]);
     let present = [replica(1, "a"), replica(2, "a"), replica(3, "b"), replica(9, "c")];
-    let situation = GroupHealth {
+    let health = GroupHealth {
         members: &current,
         present: &present,
         lost: &BTreeSet::new(),
@@ -268,6 +268,6 @@
         wanted: 3,
         leader: 1,
     };
-    let next = next_members(situation).expect("a learner of zone c");
+    let next = next_members(health).expect("a learner of zone c");
     assert!(next.replicas.iter().any(|replica| replica.replica == 9 && !replica.voter));
 }
--- a/crates/core/tests/simulation/upkeep.rs
+++ b/crates/core/tests/simulation/upkeep.rs
@@ -48,7 +48,7 @@
             .collect();
         let caught_up = running.core.caught_up_learners();
         let leader = running.core.leader();
-        let situation = GroupHealth {
+        let health = GroupHealth {
             members: running.core.members(),
             present: &present,
             lost: &lost,
@@ -56,7 +56,7 @@
             wanted,
             leader,
         };
-        let change = next_members(situation);
+        let change = next_members(health);
         let mut commands = Vec::new();
         if let Some(leasing) = running.leasing.as_mut() {
             let lapsed = leasing.expire(now, &running.state, |node| alive_nodes.contains(&node.0));
