--- a/crates/core/src/replication/election.rs
+++ b/crates/core/src/replication/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-vote, votes, terms, and handing leadership over.
+//! Elections: pre-vote, votes, terms, and leadership transfer.
 
 use super::progress::Progress;
 use super::{Action, HardState, Replication, Role};
@@ -17,7 +17,7 @@
         } else {
             self.role = Role::Candidate;
             self.hard = HardState { term: self.hard.term + 1, voted_for: self.me };
-            // The vote for itself must be persisted before it asks others.
+            // The vote for itself must be persisted before others are asked.
             actions.push(Action::Persist(self.hard, None, Vec::new()));
         }
         let term = self.hard.term + u64::from(probe);
@@ -51,12 +51,12 @@
         self.sync_peers(now);
         self.reset_election_deadline(now);
         actions.push(Action::Elected(self.hard.term));
-        // An entry of its own term lets the leader commit what came before.
+        // An entry of its own term lets the leader commit entries of earlier terms.
         self.append_local(now, EntryKind::Nothing, bytes::Bytes::new(), actions);
         self.elected_index = self.log.last_index();
     }
 
-    /// Keeps a progress for each other member.
+    /// Tracks the progress of each other member.
     pub(super) fn sync_peers(&mut self, now: Instant) {
         let next = self.log.last_index() + 1;
         let members: BTreeSet<u64> = self.members().replicas.iter().map(|replica| replica.replica).collect();
@@ -117,8 +117,8 @@
         }
     }
 
-    /// Whether a leader was heard within the least election timeout; then no
-    /// vote is given, so that a replica that was cut off can't disturb.
+    /// Whether a leader sent a message within the minimum election timeout. Votes
+    /// are refused then, so that a partitioned replica can't disrupt the group.
     pub(super) fn has_recent_leader(&self, now: Instant) -> bool {
         let is_recent = |contact: Instant| now.since(contact) < self.settings.election_timeout;
         self.role == Role::Leader || (self.leader != 0 && self.last_leader_contact.is_some_and(is_recent))
@@ -145,7 +145,7 @@
         if granted {
             self.hard.voted_for = from;
             self.reset_election_deadline(now);
-            // The vote must be persisted before it is told.
+            // The vote must be persisted before it is sent.
             actions.push(Action::Persist(self.hard, None, Vec::new()));
         }
         self.send(from, Body::VoteAnswer(VoteAnswer { granted, probe: false }), actions);
--- a/crates/core/src/replication/follower.rs
+++ b/crates/core/src/replication/follower.rs
@@ -1,4 +1,4 @@
-//! The follower: appends, and the whole state from a leader.
+//! The follower: appends, and the state pulled from a leader.
 
 use super::{Action, LogBase, Replication, Role};
 use crate::time::Instant;
--- a/crates/core/src/replication/leader.rs
+++ b/crates/core/src/replication/leader.rs
@@ -1,4 +1,4 @@
-//! The leader: proposals, appends, and what is committed and acknowledged.
+//! The leader: proposals, appends, commit and acknowledgement.
 
 use super::progress::{Progress, Tally};
 use super::{voter_changes, Action, Replication, Role, APPENDS_IN_FLIGHT, APPEND_BYTES};
@@ -20,8 +20,8 @@
     }
 
     pub(super) fn propose_members(&mut self, now: Instant, members: Members, actions: &mut Vec<Action>) {
-        // One change at a time, and only once an entry of the own term is
-        // committed; else two majorities could be disjoint.
+        // One change at a time, and only after an entry of the own term is
+        // committed; otherwise two majorities could be disjoint.
         let may_change = self.commit >= self.log.members_index() && self.commit >= self.elected_index;
         if self.role != Role::Leader || !may_change || voter_changes(self.members(), &members) > 1 {
             return;
@@ -41,8 +41,8 @@
     ) {
         let entry = Entry { term: self.hard.term, index: self.log.last_index() + 1, kind: kind.into(), payload };
         self.log.push(entry.clone());
-        // Appends go out while the own disk is written: the leader counts
-        // itself only once it hears that the entry is persisted.
+        // Appends are sent while the local write is under way: the leader counts
+        // its own copy only after `Event::Persisted`.
         self.send_appends(now, actions);
         actions.push(Action::Persist(self.hard, None, vec![entry]));
     }
@@ -56,10 +56,10 @@
         }
     }
 
-    /// Heartbeats that may be sent at any time while the replica's thread waits for its disk, also
-    /// again and again; none from a replica that doesn't lead. They tell nothing that was not told:
-    /// a leader's message that arrives late or twice does no harm, and one of a former term is
-    /// refused. They name what is known to have arrived, so that no follower sends for more.
+    /// Heartbeats that a leader may repeat while its thread waits for the disk; empty for others.
+    ///
+    /// Duplicate and late heartbeats are harmless, and those of an earlier term are rejected. Each
+    /// starts at the index that the follower confirmed, so the follower has no reason to reject it.
     pub fn heartbeats_to_repeat(&self) -> Vec<ReplicationMessage> {
         if self.role != Role::Leader {
             return Vec::new();
@@ -156,7 +156,7 @@
     }
 
     pub(super) fn note_persisted(&mut self, now: Instant, term: u64, index: u64, actions: &mut Vec<Action>) {
-        // Entries may have been replaced while the write was under way.
+        // The entries may have been replaced during the write.
         if self.log.term_at(index) == Some(term) {
             self.persisted = self.persisted.max(index);
         }
@@ -184,7 +184,7 @@
             self.commit = committed;
         }
         self.apply_committed(actions);
-        // Whoever waits hears of it after it was applied here.
+        // Callers are answered only after the entry is applied locally.
         let acknowledged = acknowledged.min(self.applied);
         if acknowledged > self.acknowledged {
             self.acknowledged = acknowledged;
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Applies what is committed and on the own disk.
+    /// Applies entries that are committed and on the local disk.
     pub(super) fn apply_committed(&mut self, actions: &mut Vec<Action>) {
         let end = self.commit.min(self.persisted);
         if end > self.applied && !self.pulling_state {
--- a/crates/core/src/replication/log.rs
+++ b/crates/core/src/replication/log.rs
@@ -5,7 +5,7 @@
 use latchwheel_protocol::Message;
 use std::collections::VecDeque;
 
-/// The last entry that is no longer in the log, and the members as of then.
+/// The entry just before the log in memory, with the members as of that entry.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct LogBase {
     /// Index of the entry.
@@ -16,16 +16,16 @@
     pub members: Members,
 }
 
-/// What a replica's disk holds.
+/// State of a replica as read from its disk.
 #[derive(Clone, Debug, Default)]
 pub struct Restored {
     /// Term and vote.
     pub hard: HardState,
-    /// Where the log begins.
+    /// Entry before the first of the log.
     pub base: LogBase,
-    /// The log behind the base.
+    /// Entries after the base.
     pub entries: Vec<Entry>,
-    /// Index up to which the state was applied.
+    /// Index up to which entries were applied to the state.
     pub applied: u64,
 }
 
@@ -107,8 +107,8 @@
         }
     }
 
-    /// Entries from an index on, up to so many bytes of payload but at least
-    /// one entry.
+    /// Entries from an index on, up to `bytes` of payload but at least one entry
+    /// if there is any.
     pub(super) fn slice(&self, from: u64, bytes: usize) -> Vec<Entry> {
         let mut taken = 0;
         let mut entries = Vec::new();
@@ -128,8 +128,8 @@
         (from..=to).filter_map(|index| self.get(index).cloned()).collect()
     }
 
-    /// Takes a leader's entries. Returns the index from which own entries
-    /// were dropped, and the entries that are new.
+    /// Merges a leader's entries. Returns the index from which conflicting
+    /// entries were removed, and the entries that were added.
     pub(super) fn merge(&mut self, entries: Vec<Entry>) -> (Option<u64>, Vec<Entry>) {
         let mut truncated = None;
         let mut added = Vec::new();
@@ -169,7 +169,7 @@
         self.entries.iter().rev().find(is_members).map_or(self.base.index, |entry| entry.index)
     }
 
-    /// Members by the last entry up to an index.
+    /// Members by the last members entry up to an index.
     fn members_at(&self, index: u64) -> Members {
         let at = self.last_members_index(index);
         match self.get(at) {
--- a/crates/core/src/replication/mod.rs
+++ b/crates/core/src/replication/mod.rs
@@ -1,21 +1,18 @@
 //! Quorum replication of one store group's log.
 //!
-//! Leader-based with terms, after Raft (Ongaro, "Consensus: Bridging Theory
-//! and Practice", 2014), with pre-vote, check-quorum, learners, single-step
-//! membership changes and quorum reads. Differences from the thesis:
+//! Raft (Ongaro, "Consensus: Bridging Theory and Practice", 2014) with pre-vote,
+//! check-quorum, learners, single-step membership changes and quorum reads.
+//! Differences from the thesis:
 //!
-//! - Commit and acknowledgement are apart. An entry is committed, and
-//!   applied, once it is on stable storage of a quorum. It may be acknowledged
-//!   to whoever proposed it only once that spans at least two zones (where the
-//!   voters span two), and under [`AckRule::Reachable`] every voter that
-//!   answers at all. So a group whose only voter of another zone is lost can
-//!   still commit the change of members that replaces it.
-//! - A replica's identity is drawn when its data folder is formatted, so a
-//!   machine with an emptied disk can't vote as the replica it was before.
+//! - An entry is committed and applied once a quorum has it on stable storage.
+//!   It is acknowledged only once the copies also span two zones (if the voters
+//!   do), and under [`AckRule::Reachable`] every reachable voter has one. A group
+//!   that lost its only voter in another zone can still commit the replacement.
+//! - A replica draws its identity when its data folder is formatted, so a
+//!   machine with an erased disk can't vote as its former replica.
 //!
-//! Invariants that the runtime must keep: actions are carried out in order,
-//! and a [`Action::Persist`] must be on stable storage before any action
-//! behind it is carried out.
+//! The runtime must perform actions in order, and an [`Action::Persist`] must be
+//! on stable storage before the next action is performed.
 
 mod election;
 mod follower;
@@ -37,31 +34,31 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Most bytes of payload in one append message.
+/// Payload bytes in one append message.
 const APPEND_BYTES: usize = 1 << 20;
-/// Append messages that may be under way to one replica.
+/// Unanswered append messages to one replica.
 const APPENDS_IN_FLIGHT: u64 = 8;
-/// A learner becomes a voter once it lacks at most this many entries.
+/// Entries that a learner may lack when it becomes a voter.
 const PROMOTION_LAG: u64 = 64;
 
-/// When an entry counts as acknowledged.
+/// When an entry may be acknowledged to its proposer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum AckRule {
-    /// On a quorum.
+    /// Once a quorum has it.
     #[default]
     Quorum,
-    /// On a quorum, and on every voter that has answered lately.
+    /// Once a quorum and every reachable voter have it.
     Reachable,
 }
 
 /// Timing and rules of a replica.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Least time without a leader before an election; the most is twice this.
+    /// Minimum time without a leader before an election; the maximum is twice this.
     pub election_timeout: Duration,
-    /// Time between a leader's heartbeats.
+    /// Interval of the leader's heartbeats.
     pub heartbeat: Duration,
-    /// When an entry counts as acknowledged.
+    /// When an entry may be acknowledged.
     pub ack_rule: AckRule,
 }
 
@@ -75,86 +72,86 @@
     }
 }
 
-/// Time for which a replica that waits for its disk goes on being heard: the longest wait for an
-/// election. To wait so long for the write costs callers no more than to elect, and a leader
-/// whose disk hangs is replaced after it.
+/// Time for which a replica that waits for its disk repeats its heartbeats or answers.
+///
+/// It equals the maximum election timeout: beyond it an election costs callers less than waiting, so
+/// that a leader whose disk hangs is replaced.
 pub fn keep_alive_limit(election_timeout: Duration) -> Duration {
     election_timeout * 2
 }
 
-/// What must survive a restart, besides the log.
+/// Persistent state besides the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct HardState {
-    /// Highest term that was seen.
+    /// Highest term seen.
     pub term: u64,
-    /// Replica that got the vote of that term; zero for none.
+    /// Replica that this one voted for in the term; zero for none.
     pub voted_for: u64,
 }
 
-/// What happens to the replica.
+/// An input to the replica.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passes.
+    /// Time has passed.
     Tick,
     /// A message arrived.
     Received(ReplicationMessage),
-    /// A command is to be committed; the number names it in the answer.
+    /// Commit a command; the number identifies the proposal in the resulting actions.
     Propose(u64, bytes::Bytes),
-    /// The members are to be changed by at most one voter.
+    /// Change the members, by at most one voter.
     ProposeMembers(Members),
-    /// The log is on stable storage up to this index of this term.
+    /// The log is on stable storage up to the entry of this term and index.
     Persisted(u64, u64),
-    /// Whoever reads wants to know when the applied state is recent enough.
+    /// Start a quorum read; the number identifies it in the resulting action.
     Read(u64),
-    /// The whole state up to this base was taken from the leader and is on
-    /// stable storage.
+    /// The state up to this base was pulled and is on stable storage.
     StateInstalled(LogBase),
-    /// The log may be dropped up to this index.
+    /// Drop the log up to this index.
     Compact(u64),
-    /// The node stops: hand leadership over.
+    /// The node stops: transfer leadership.
     TransferLeadership,
 }
 
-/// What the runtime has to do, in order.
+/// What the runtime must do, in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Put on stable storage before going on: the hard state, then drop all
-    /// entries from an index on, then add entries.
+    /// Store the hard state, remove entries from the index on, and append the
+    /// entries; all before the next action.
     Persist(HardState, Option<u64>, Vec<Entry>),
     /// Send a message.
     Send(ReplicationMessage),
     /// Apply committed entries, in order.
     Apply(Vec<Entry>),
-    /// The proposal got this index and term; it is committed if an entry with
-    /// both is applied.
+    /// Proposal, index and term: the proposal is committed if an entry with this
+    /// index and term is applied.
     Proposed(u64, u64, u64),
-    /// Entries up to this index, once applied, may be acknowledged.
+    /// Applied entries up to this index may be acknowledged.
     Acknowledged(u64),
-    /// The proposal was not taken: this replica doesn't lead.
+    /// The proposal was rejected because this replica is not the leader.
     Rejected(u64),
-    /// The read may be served once this index is applied.
+    /// Read and index: the read may be served once the index is applied.
     ReadReady(u64, u64),
-    /// The read can't be served here.
+    /// The read can't be served by this replica.
     ReadRejected(u64),
-    /// Fetch the whole state from this replica; its log no longer has what
-    /// this one lacks.
+    /// Fetch the state from this replica; its log no longer has the missing
+    /// entries.
     PullState(u64),
     /// The replica became leader of this term.
     Elected(u64),
-    /// The replica no longer leads.
+    /// The replica is no longer leader.
     Deposed,
 }
 
-/// Part that a replica plays.
+/// Role of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     /// Follows a leader, or waits for one.
     Follower,
-    /// Asks whether an election could be won.
+    /// Requests pre-votes to find out whether it could win an election.
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
-    /// Leads.
+    /// Replicates its log to the others.
     Leader,
 }
 
@@ -192,7 +189,7 @@
 }
 
 impl Replication {
-    /// A replica from what its disk holds.
+    /// Creates a replica from what its disk holds.
     pub fn new(group: u64, me: u64, settings: Settings, restored: Restored, now: Instant, seed: u64) -> Self {
         let hard = restored.hard;
         let applied = restored.base.index.max(restored.applied);
@@ -225,22 +222,22 @@
         replica
     }
 
-    /// Part that the replica plays.
+    /// Role of the replica.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Present term.
+    /// Current term.
     pub fn term(&self) -> u64 {
         self.hard.term
     }
 
-    /// Identity of the known leader; zero for none.
+    /// Identity of the leader; zero if unknown.
     pub fn leader(&self) -> u64 {
         self.leader
     }
 
-    /// Members by the latest entry of the log.
+    /// Members by the latest members entry of the log.
     pub fn members(&self) -> &Members {
         self.log.members()
     }
@@ -250,17 +247,17 @@
         self.commit
     }
 
-    /// Index up to which entries were given out to be applied.
+    /// Index up to which entries were passed to [`Action::Apply`].
     pub fn applied_index(&self) -> u64 {
         self.applied
     }
 
-    /// Entries and payload bytes held in memory.
+    /// Number of entries and of payload bytes in memory.
     pub fn log_size(&self) -> (usize, usize) {
         self.log.size()
     }
 
-    /// Voters that have answered this leader lately, itself included.
+    /// Voters that answered this leader within the election timeout, itself included.
     pub fn reachable(&self, now: Instant) -> Vec<u64> {
         let reachable_window = self.settings.election_timeout;
         let responded =
@@ -268,7 +265,7 @@
         self.voters().filter(|replica| *replica == self.me || responded(replica)).collect()
     }
 
-    /// Learners that have caught up, for promotion.
+    /// Learners that have caught up enough to become voters.
     pub fn caught_up_learners(&self) -> Vec<u64> {
         let has_caught_up = |id: &u64| {
             self.peers
@@ -284,7 +281,7 @@
             .collect()
     }
 
-    /// Takes an event and says what to do.
+    /// Processes an event and returns the actions to perform.
     pub fn handle(&mut self, now: Instant, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
@@ -331,7 +328,7 @@
     fn tick(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if self.role == Role::Leader {
             if self.reachable(now).len() < self.quorum() && now >= self.election_deadline {
-                // Check-quorum: a leader that is cut off stops answering.
+                // Check-quorum: a leader without a quorum steps down.
                 self.become_follower(now, self.hard.term, 0, actions);
                 return;
             }
@@ -343,18 +340,18 @@
         }
     }
 
-    /// The pull of the state failed; it is offered again.
+    /// Notes that the pull of the state failed; the leader will offer it again.
     pub fn state_pull_failed(&mut self) {
         self.pulling_state = false;
     }
 
-    /// The base that a log without the entries up to an index begins with,
-    /// if the index is applied and still in the log.
+    /// Base that the log has after compaction up to an index; `None` unless the
+    /// index is applied and in the log.
     pub fn base_before(&self, index: u64) -> Option<LogBase> {
         (index <= self.applied && self.log.term_at(index).is_some()).then(|| self.log.base_at(index))
     }
 
-    /// Base of the log: what a state taken now would replace.
+    /// Base that the log has after compaction up to the applied index.
     pub fn base_at_applied(&self) -> LogBase {
         self.log.base_at(self.applied)
     }
--- a/crates/core/src/replication/progress.rs
+++ b/crates/core/src/replication/progress.rs
@@ -1,5 +1,5 @@
-//! What a leader knows of the other replicas, and the count of
-//! acknowledgements.
+//! Replication progress of the other replicas, and which entries are committed
+//! and acknowledged.
 
 use super::AckRule;
 use crate::time::Instant;
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// Zones that must hold an entry, where the group spans as many.
+/// Zones that must hold an entry, or all zones of the voters if those are fewer.
 const ZONES_FOR_ACK: usize = 2;
 
 #[derive(Debug)]
@@ -29,8 +29,8 @@
         now.since(self.last_response) < reachable_window
     }
 
-    /// Before a heartbeat: if nothing was heard for long, appends under way
-    /// are taken for lost and sent again from what is known to have arrived.
+    /// Called before a heartbeat: if the replica has not responded for half the
+    /// timeout, treats unanswered appends as lost and resends from `matched`.
     pub(super) fn note_heartbeat(&mut self, now: Instant, timeout: Duration) {
         if self.in_flight > 0 && !self.responded_within(now, timeout / 2) {
             self.in_flight = 0;
@@ -70,7 +70,7 @@
     }
 }
 
-/// Where an entry is on stable storage.
+/// Copies of an entry on stable storage.
 #[derive(Debug, Default)]
 struct Copies<'a> {
     voters: usize,
@@ -90,7 +90,7 @@
     }
 }
 
-/// Counts which index is committed and which acknowledged.
+/// Computes the committed and the acknowledged index.
 pub(super) struct Tally<'a> {
     pub(super) members: &'a Members,
     pub(super) me: u64,
@@ -109,13 +109,12 @@
         self.peers.get(&replica).map_or(0, |peer| peer.matched)
     }
 
-    /// Highest index on stable storage of a quorum: it is committed.
+    /// Highest index that a quorum has on stable storage.
     pub(super) fn committed(&self) -> u64 {
         self.highest(|index| self.copies(index).on_quorum())
     }
 
-    /// Highest index on stable storage as the rule for acknowledgements
-    /// wants it.
+    /// Highest index whose copies satisfy the acknowledgement rule.
     pub(super) fn acknowledged(&self) -> u64 {
         self.highest(|index| {
             let copies = self.copies(index);
--- a/crates/core/src/replication/reads.rs
+++ b/crates/core/src/replication/reads.rs
@@ -1,12 +1,12 @@
-//! Quorum reads: a leader confirms that it still leads before it answers.
+//! Quorum reads: a leader confirms its leadership with a quorum before it answers.
 
 use super::{Action, PendingRead, Replication, Role};
 use crate::time::Instant;
 
 impl Replication {
     pub(super) fn read(&mut self, now: Instant, identity: u64, actions: &mut Vec<Action>) {
-        // Before an entry of its own term is committed, a new leader may not
-        // know of commits of the leader before it.
+        // Until an entry of its own term is committed, a new leader's commit index
+        // may be behind that of its predecessor.
         if self.role != Role::Leader || self.commit < self.elected_index {
             actions.push(Action::ReadRejected(identity));
             return;
--- a/crates/core/src/replication/replacement.rs
+++ b/crates/core/src/replication/replacement.rs
@@ -1,29 +1,29 @@
-//! Which member of a store group is to be added, promoted or removed next.
+//! Selects the next member of a store group to add, promote or remove.
 //!
-//! One change at a time. A lost voter is removed only after its successor
-//! votes, so that a replacement never lowers what the group survives.
+//! One change at a time. A lost voter is removed only after its replacement
+//! has become a voter, so that fault tolerance never drops.
 
 use latchwheel_protocol::v1::{Members, Replica};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the leader knows.
+/// State of a store group as the leader sees it.
 #[derive(Clone, Copy, Debug)]
 pub struct GroupHealth<'a> {
-    /// The present members.
+    /// The current members.
     pub members: &'a Members,
-    /// Replicas that are alive, members or not.
+    /// Live replicas, whether members or not.
     pub present: &'a [Replica],
-    /// Members that have been away for longer than the grace.
+    /// Members that have been unreachable for longer than the grace period.
     pub lost: &'a BTreeSet<u64>,
     /// Learners that have caught up.
     pub caught_up: &'a [u64],
-    /// Voters that the group should have.
+    /// Target number of voters.
     pub wanted: usize,
-    /// The leader, which is removed only if nothing else will do.
+    /// The leader, which is not removed to reduce the number of voters.
     pub leader: u64,
 }
 
-/// The members after the next change, or `None` where nothing is to do.
+/// Members after the next change, or `None` if no change is needed.
 pub fn next_members(health: GroupHealth<'_>) -> Option<Members> {
     let replicas = &health.members.replicas;
     let is_lost = |replica: &&Replica| health.lost.contains(&replica.replica);
@@ -49,8 +49,8 @@
     None
 }
 
-/// Whether a zone holds two voters while a replica of a zone without any
-/// member is present.
+/// Whether a zone has several voters while a learner is in a zone without voters
+/// or a live replica is in a zone without members.
 fn can_improve_spread(health: &GroupHealth<'_>) -> bool {
     let zones = voters_by_zone(health);
     let empty_zone = |replica: &&Replica| health.members.replicas.iter().all(|member| member.zone != replica.zone);
@@ -67,7 +67,7 @@
     zones
 }
 
-/// A voter of the zone that has the most, but not the leader.
+/// A voter other than the leader, from the zone with the most voters.
 fn voter_in_largest_zone(health: &GroupHealth<'_>) -> Option<u64> {
     let zones = voters_by_zone(health);
     let others = health.members.replicas.iter().filter(|replica| replica.voter && replica.replica != health.leader);
@@ -76,7 +76,7 @@
         .map(|replica| replica.replica)
 }
 
-/// A present replica that is no member, in the zone with the fewest members.
+/// A live replica that is not a member, from the zone with the fewest members that are not lost.
 fn next_learner<'a>(health: &GroupHealth<'a>) -> Option<&'a Replica> {
     let mut by_zone: BTreeMap<&str, usize> = BTreeMap::new();
     let members: BTreeSet<u64> = health.members.replicas.iter().map(|replica| replica.replica).collect();
@@ -92,7 +92,7 @@
         .min_by_key(|replica| (by_zone.get(replica.zone.as_str()).copied().unwrap_or(0), replica.replica))
 }
 
-/// The first members of a group: present replicas spread over zones in turn.
+/// Initial members of a group: live replicas spread over the zones.
 pub fn first_members(present: &[Replica], wanted: usize) -> Members {
     let mut members = Members::default();
     let lost = BTreeSet::new();
