--- a/crates/core/src/membership/messages.rs
+++ b/crates/core/src/membership/messages.rs
@@ -1,4 +1,4 @@
-//! Messages: what they carry, and what is done with what they brought.
+//! Content and handling of messages.
 
 use super::{
     is_unsuspected, Action, Membership, RelayedProbe, GOSSIP_FACTOR, JOIN_RECORDS, SUMMARIES_PER_PROBE,
@@ -24,12 +24,12 @@
     ) {
         let Some(member) = self.members.get(&to) else { return };
         let address = member.record.address.clone();
-        // Known from the machine list alone: it is asked for its own record
-        // with every probe until that has come.
+        // A member known only from the machine list is asked for its own record
+        // with every probe until the record arrives.
         let join = join || (!answer && member.record.incarnation == 0);
         let mut updates = self.pick_updates();
-        // Whoever is held for suspect or dead must hear of it, so that it
-        // can refute.
+        // A member that is suspect or dead receives that record, so that it can
+        // refute it.
         if let Some(member) = self.members.get(&to) {
             if !is_unsuspected(member.record.status()) && !updates.iter().any(|record| record.node == to.0) {
                 updates.push(member.record.clone());
@@ -52,7 +52,7 @@
         actions.push(Action::Send(address, message));
     }
 
-    /// Records that were told least often; each is told a bounded number of times.
+    /// The records with the fewest sends; each is sent a bounded number of times.
     pub(super) fn pick_updates(&mut self) -> Vec<MemberRecord> {
         let limit = (GOSSIP_FACTOR * self.log2_of_members()).ceil() as u32;
         let mut updates = Vec::new();
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Tells a newcomer the members of this node's region.
+    /// Sends all live members to a joining node.
     pub(super) fn send_members(&mut self, to: NodeId, actions: &mut Vec<Action>) {
         let Some(address) = self.members.get(&to).map(|member| member.record.address.clone()) else { return };
         let mut records: Vec<MemberRecord> = self.live().filter(|record| record.node != to.0).cloned().collect();
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -1,11 +1,11 @@
-//! Membership by probing, after SWIM (Das, Gupta, Motivala, 2002) with
-//! incarnations, indirect probes and suspicion.
+//! SWIM membership (Das, Gupta, Motivala, 2002) with incarnations, indirect
+//! probes and suspicion.
 //!
-//! Inside a region each node probes one member a period, in a shuffled
-//! round. Between regions only relays probe: the two live members of a region
-//! that rendezvous hashing names for the other region. Every message carries
-//! the sender's table revision and a few recent load summaries. Members that
-//! are held for dead are probed now and then, so that a healed cut is found.
+//! In a region each node probes one member per period, in a shuffled round.
+//! Between regions only relays probe: the two live members of a region that
+//! rendezvous hashing selects for the other region. Every message carries the
+//! sender's table revision and a few recent load summaries. Dead members are
+//! probed from time to time, so that a healed partition is detected.
 
 mod messages;
 mod probing;
@@ -20,35 +20,34 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-/// Members asked to probe on one's behalf.
+/// Members that are asked for an indirect probe.
 const INDIRECT_PROBES: usize = 3;
-/// Records carried by one message.
+/// Changed records in one message.
 const UPDATES_PER_MESSAGE: usize = 6;
-/// Summaries of other nodes carried by one probe; answers carry none.
+/// Summaries of other nodes in one probe; answers carry none.
 const SUMMARIES_PER_PROBE: usize = 4;
-/// A record is told this many times the logarithm of the members.
+/// Each changed record is sent this many times log2 of the member count.
 const GOSSIP_FACTOR: f64 = 3.0;
-/// Suspicion lasts this many periods times the logarithm of the members.
+/// Periods of suspicion per log2 of the member count.
 const SUSPICION_FACTOR: f64 = 1.5;
-/// Least suspicion in periods.
+/// Minimum suspicion in periods.
 const MIN_SUSPICION_PERIODS: f64 = 3.0;
 /// Relays between two regions, on each side.
 const RELAYS: usize = 2;
-/// Members that are told at once of a new table revision, or that a
-/// suspicion is wrong.
+/// Members that are sent a new table revision or a refutation at once.
 const GOSSIP_FANOUT: usize = 3;
-/// Every so many periods a member that is held for dead is probed.
+/// Periods between two probes of dead members.
 const RECONNECT_PERIODS: u64 = 5;
-/// Dead members are forgotten after this time, so that late gossip can't
-/// bring them back.
+/// Time for which dead members are remembered, so that late gossip can't revive
+/// them.
 const DEAD_RETENTION: Duration = Duration::from_secs(600);
-/// Records in one answer to a newcomer.
+/// Four times the number of records in one message to a joining node.
 const JOIN_RECORDS: usize = 64;
 
 /// Timing of the probes.
 #[derive(Clone, Copy, Debug)]
 pub struct Settings {
-    /// Time between two probes.
+    /// Interval of the probes.
     pub period: Duration,
     /// Time for a direct answer before indirect probes are sent.
     pub answer_timeout: Duration,
@@ -60,29 +59,29 @@
     }
 }
 
-/// What happens to the membership.
+/// An input to the membership.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Time passes; at least as often as the answer timeout.
+    /// Time has passed; needed at least once per answer timeout.
     Tick,
     /// A message arrived.
     Received(Datagram),
-    /// Members named by the platform's machine list: a lagging seed.
+    /// Members from the platform's machine list, which may be outdated.
     Seeds(Vec<MemberRecord>),
     /// The node announces that it is leaving.
     Leave,
-    /// The node's table revision and load changed.
+    /// The node's own table revision or load changed.
     OwnSummary(Summary),
 }
 
-/// What the runtime has to do.
+/// What the runtime must do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Send a message to an address.
     Send(String, Datagram),
     /// A member is new or has another status.
     Changed(MemberRecord),
-    /// A peer is at this table revision.
+    /// A peer reported its table revision.
     PeerRevision(NodeId, u64),
 }
 
@@ -100,7 +99,7 @@
     indirect: bool,
 }
 
-/// A direct probe made on another's behalf.
+/// A direct probe made at the request of another node.
 #[derive(Clone, Debug)]
 struct RelayedProbe {
     target: NodeId,
@@ -115,7 +114,7 @@
     settings: Settings,
     me: MemberRecord,
     members: BTreeMap<NodeId, Member>,
-    /// Members whose records are still being told, by how often they were.
+    /// Members whose records are still sent, with the number of sends.
     pending_updates: BTreeSet<(u32, NodeId)>,
     suspects: BTreeSet<NodeId>,
     probe_round: Vec<NodeId>,
@@ -127,13 +126,13 @@
     own_sends: u32,
     own_summary: Summary,
     summaries: BTreeMap<NodeId, Summary>,
-    /// Nodes of the own zone whose summaries came last, the latest first.
+    /// Nodes of the own zone with the newest summaries, the newest first.
     recent_in_zone: VecDeque<NodeId>,
     random: SmallRng,
 }
 
 impl Membership {
-    /// A node that knows nobody yet.
+    /// Creates a membership without other members.
     pub fn new(settings: Settings, me: MemberRecord, now: Instant, seed: u64) -> Self {
         let own_summary = Summary { node: me.node, ..Summary::default() };
         Self {
@@ -161,28 +160,28 @@
         &self.me
     }
 
-    /// All members but this one, dead ones included.
+    /// All other members, including dead ones.
     pub fn records(&self) -> impl Iterator<Item = &MemberRecord> {
         self.members.values().map(|member| &member.record)
     }
 
-    /// Members that may be sent work: alive or only suspected.
+    /// Other members that may be sent work: alive or suspected.
     pub fn live(&self) -> impl Iterator<Item = &MemberRecord> {
         self.records().filter(|record| is_live(record.status()))
     }
 
-    /// Whether a node is this one or is not held for dead.
+    /// Whether a node is this one or a member that is not dead.
     pub fn is_present(&self, node: NodeId) -> bool {
         node.0 == self.me.node
             || self.members.get(&node).is_some_and(|member| member.record.status() != MemberStatus::Dead)
     }
 
-    /// The last known summaries of other nodes.
+    /// The latest summaries of other nodes.
     pub fn summaries(&self) -> impl Iterator<Item = &Summary> {
         self.summaries.values()
     }
 
-    /// Takes an event and says what to do.
+    /// Processes an event and returns the actions to perform.
     pub fn handle(&mut self, now: Instant, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
@@ -195,8 +194,8 @@
         actions
     }
 
-    /// A new table revision is told at once to a few members, who pull it and
-    /// tell others in turn; probes carry it to whomever that misses.
+    /// Sends a new table revision at once to a few members, which pull it and
+    /// send it on; probes carry it to the others.
     fn update_own_summary(&mut self, summary: Summary, actions: &mut Vec<Action>) {
         let newer = summary.revision > self.own_summary.revision;
         self.own_summary = summary;
@@ -206,7 +205,7 @@
         }
     }
 
-    /// Sends to a few members of the region at once.
+    /// Sends to a few random members of the region.
     fn gossip_now(&mut self, actions: &mut Vec<Action>) {
         let region = &self.me.region;
         let targets: Vec<NodeId> = self
@@ -220,7 +219,7 @@
         }
     }
 
-    /// Takes a summary that came with an answer over another way.
+    /// Stores a summary of another node.
     pub fn note_summary(&mut self, summary: Summary) {
         let node = NodeId(summary.node);
         if node.0 == self.me.node {
@@ -253,7 +252,7 @@
     }
 }
 
-/// Whether a member may be sent work, as far as is known.
+/// Whether a member with this status may be sent work.
 pub fn is_live(status: MemberStatus) -> bool {
     matches!(status, MemberStatus::Alive | MemberStatus::Suspect)
 }
@@ -262,8 +261,8 @@
     matches!(status, MemberStatus::Alive | MemberStatus::Leaving)
 }
 
-/// Whether a record goes before another of the same member: the higher
-/// incarnation; at the same one, the graver status.
+/// Whether a record replaces another of the same member: it has a higher
+/// incarnation, or the same one and a more severe status.
 fn supersedes(new: &MemberRecord, old: &MemberRecord) -> bool {
     (new.incarnation, severity(new.status())) > (old.incarnation, severity(old.status()))
 }
--- a/crates/core/src/membership/probing.rs
+++ b/crates/core/src/membership/probing.rs
@@ -1,5 +1,4 @@
-//! Probes inside the region, by relays to other regions, and of members that
-//! are held for dead.
+//! Probes in the region, to other regions and of dead members.
 
 use super::{
     is_live, Action, Membership, Probe, DEAD_RETENTION, INDIRECT_PROBES, MIN_SUSPICION_PERIODS, RELAYS,
@@ -99,7 +98,7 @@
         }
     }
 
-    /// Probes one member of every other region for which this node is relay.
+    /// Probes one member of each region for which this node is a relay.
     pub(super) fn probe_regions(&mut self, actions: &mut Vec<Action>) {
         let regions: BTreeSet<String> =
             self.live().filter(|record| !self.same_region(record)).map(|record| record.region.clone()).collect();
--- a/crates/core/src/membership/records.rs
+++ b/crates/core/src/membership/records.rs
@@ -1,5 +1,4 @@
-//! Records of members: which goes before which, and how a node corrects
-//! what is told of it.
+//! Merging of member records, and refutation of wrong records of this node.
 
 use super::{is_live, supersedes, Action, Member, Membership};
 use crate::identity::NodeId;
@@ -13,8 +12,8 @@
             if record.node == self.me.node || self.members.contains_key(&node) {
                 continue;
             }
-            // A seed is only a hint of whom to ask: it is known as alive at
-            // incarnation zero and confirmed or suspected like any other.
+            // A seed may be outdated: it starts as alive at incarnation zero and
+            // is confirmed or suspected like any other member.
             let record = MemberRecord { incarnation: 0, status: MemberStatus::Alive.into(), ..record };
             let in_region = record.region == self.me.region;
             self.members.insert(node, Member { record: record.clone(), status_since: now });
@@ -55,7 +54,7 @@
         if !supersedes {
             return;
         }
-        // All but the incarnation: what a seed did not tell, a record does.
+        // Compares all but the incarnation: seeds lack fields that records have.
         let changed = self.members.get(&node).is_none_or(|member| {
             let old = MemberRecord { incarnation: record.incarnation, ..member.record.clone() };
             old != record
@@ -77,8 +76,8 @@
         }
     }
 
-    /// Another holds this node for suspect or dead, or knows an older start
-    /// of it: a higher incarnation corrects that.
+    /// Corrects a wrong status, or the incarnation of an earlier start, with a
+    /// higher incarnation.
     pub(super) fn refute(&mut self, record: &MemberRecord, actions: &mut Vec<Action>) {
         let wrong_status = record.status != self.me.status;
         if record.incarnation >= self.me.incarnation && (wrong_status || record.incarnation > self.me.incarnation) {
