--- a/crates/core/src/record_source.rs
+++ b/crates/core/src/record_source.rs
@@ -1,57 +1,50 @@
-//! Where a node takes the records that it follows from.
+//! Source of the records that a node follows: the record store or an *upstream*.
 //!
-//! If every node watched the record store itself, the calls would grow with
-//! the number of nodes. A few nodes watch the store; all others poll one of
-//! these, their *upstream*. An upstream tells how long ago the store was last
-//! known to answer it. A node whose upstream is silent, cut off from the store
-//! or behind asks the next one at once, and turns to the store if that can't be
-//! relied on either: no upstream is ever needed, and none is chosen by
-//! agreement. Where the store is away for all, their word for it keeps the node
-//! from asking the store as well, and an upstream holds the node's polls until
-//! the store is back.
+//! Only a few nodes watch the record store, so that its load doesn't grow with the number of nodes.
+//! All others poll one of these nodes, their upstream, which reports how long ago the store last
+//! answered it. A node whose upstream is unresponsive or unreliable polls the next one at once, and
+//! follows the store if that one is unreliable too. While the store is unreachable for all, the
+//! upstreams' reports also keep the node from calling it, and upstreams hold polls until it answers.
 //!
-//! An upstream that knows less than the node itself does, as one that starts too and has
-//! not listed the records yet, is no source for this node. It is waited for a moment, and
-//! then counts as one that can't be relied on: what a node knows never goes back because
-//! its source changed.
+//! An upstream with older records than the node is polled again for a short time and then counts as
+//! unreliable: a change of source never takes a node back to older records.
 //!
-//! Invariant: while the source is an upstream, what the node believes is no
-//! older than [`AGE_LIMIT`] and the time of two polls.
+//! Invariant: while the source is an upstream, the node's records are at most as old as [`AGE_LIMIT`]
+//! plus the time of two polls.
 
 use crate::retry::doubled_pause;
 use crate::time::Instant;
 use std::time::Duration;
 
-/// An upstream is sound only if the store answered it within this time.
+/// Time since the last answer of the store after which an upstream is unreliable.
 pub const AGE_LIMIT: Duration = Duration::from_millis(900);
-/// An upstream whose calls to the store fail for longer is not sound. Shorter
-/// failures are waiting calls that were cut.
+/// Time of failing calls to the store after which an upstream is unreliable. Shorter failures are
+/// interrupted long polls.
 pub const OUTAGE_LIMIT: Duration = Duration::from_millis(300);
-/// Time in which a node that starts waits for an upstream that starts too. A
-/// longer one only delays nodes whose upstream has more to tell than it can.
+/// Time for which a starting node waits for a reliable upstream.
 const START_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Pause between two polls while starting.
+/// Initial backoff between two polls while starting.
 const START_BACKOFF: Duration = Duration::from_millis(80);
 /// The same where upstreams tell that what is missing comes later: they have a
 /// listing under way, or lists to send to many nodes that started together. The store
 /// has no more room for the lists of all nodes than they: 50 calls a node where there
 /// are 10,000 servers.
 pub const DEFERRAL_PATIENCE: Duration = Duration::from_secs(20);
-/// Longest pause between two polls while starting.
+/// Maximum backoff between two polls while starting.
 const MAX_START_BACKOFF: Duration = Duration::from_millis(640);
 /// Time for which upstreams that are behind the node itself, and sound otherwise, are
 /// waited for. One whose watch of the store lives hears of changes within half of it.
 pub const CATCH_UP_PATIENCE: Duration = Duration::from_millis(1000);
-/// Upstreams that must fail in a row before a node turns to the store.
+/// Consecutive failures of upstreams after which a node follows the store.
 const FAILURES_BEFORE_STORE: u32 = 2;
-/// Pause after a failed poll, doubled at each failure in a row.
+/// Backoff after a failed poll, doubled at each consecutive one.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(250);
 const MAX_BACKOFF: Duration = Duration::from_secs(4);
 
-/// Where followed records come from.
+/// Source of the followed records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordSource {
-    /// Nothing was heard yet from an upstream that may yet start.
+    /// No upstream has answered yet; the node still waits for one.
     Undecided,
     /// Another node's cache.
     Upstream,
@@ -64,13 +57,13 @@
 pub struct UpstreamState {
     /// Time since the store was last known to answer it.
     pub age: Duration,
-    /// Time since which its calls to the store fail; zero if they don't.
+    /// Time for which its calls to the store have been failing; zero if they succeed.
     pub outage: Duration,
-    /// Whether it told all that was asked for.
+    /// Whether the answer holds all requested records.
     pub complete: bool,
-    /// Whether it tells later what is missing.
+    /// Whether the upstream will send the missing records later.
     pub defers: bool,
-    /// Whether it knows less than the node that asks.
+    /// Whether its records are older than those of the polling node.
     pub behind: bool,
 }
 
@@ -110,50 +103,50 @@
     next_upstream: usize,
     source: RecordSource,
     started: Instant,
-    /// Polls in a row without an upstream that can be relied on.
+    /// Consecutive polls without a reliable upstream.
     failures: u32,
-    /// Those of them that were not answered at all.
+    /// How many of these failures got no answer.
     unanswered: u32,
-    /// Since when upstreams are behind the node.
+    /// Time since which upstreams are behind this node.
     behind_since: Option<Instant>,
 }
 
 impl SourceChoice {
-    /// A node that starts `now`; `spread` makes different nodes begin with
-    /// different upstreams. Without upstreams the store is the source.
+    /// Creates the selector of a node that starts `now`; `spread` distributes nodes over the
+    /// upstreams. Without upstreams the store is the source.
     pub fn new(upstreams: usize, spread: u64, now: Instant) -> Self {
         let source = if upstreams == 0 { RecordSource::Store } else { RecordSource::Undecided };
         let next_upstream = spread.checked_rem(upstreams as u64).unwrap_or(0) as usize;
         Self { upstreams, next_upstream, source, started: now, failures: 0, unanswered: 0, behind_since: None }
     }
 
-    /// The present source.
+    /// The current source.
     pub fn source(&self) -> RecordSource {
         self.source
     }
 
-    /// Number of the upstream to poll next; `None` if there is none.
+    /// Index of the upstream to poll next; `None` without upstreams.
     pub fn upstream(&self) -> Option<usize> {
         (self.upstreams > 0).then_some(self.next_upstream)
     }
 
-    /// What the next poll waits for. Once no upstream could be relied on, the
-    /// polls rest at upstreams until one can.
+    /// What the next poll waits for. When no upstream is reliable, upstreams hold
+    /// the polls until one is.
     pub fn poll_wait(&self) -> PollWait {
         if self.behind_since.is_some() {
             return PollWait::Soundness;
         }
         match (self.source, self.failures) {
             (RecordSource::Upstream, 0) => PollWait::News,
-            // An upstream that starts too answers once it has its first lists.
+            // An upstream that is itself starting answers once it has its first lists.
             (RecordSource::Undecided, failures) if failures > 0 => PollWait::Soundness,
             (RecordSource::Store, failures) if failures as usize >= self.upstreams => PollWait::Soundness,
             _ => PollWait::Nothing,
         }
     }
 
-    /// An upstream answered. Gives back the pause before the next poll: none
-    /// after an upstream that can hold polls until it is sound.
+    /// Notes an upstream's answer. Returns the backoff before the next poll: zero
+    /// after an upstream that holds polls until it is reliable.
     pub fn note_answer(&mut self, now: Instant, state: &UpstreamState) -> Duration {
         if state.is_sound() {
             self.source = RecordSource::Upstream;
@@ -182,28 +175,27 @@
         }
     }
 
-    /// Whether an upstream that is behind is asked again before it is left. Those that are
-    /// behind one after the other share the time.
+    /// Whether an upstream that is behind is polled again. Consecutive upstreams that are behind
+    /// share the timeout.
     fn may_still_catch_up(&mut self, now: Instant) -> bool {
         let since = *self.behind_since.get_or_insert(now);
         now.since(since) < CATCH_UP_PATIENCE
     }
 
-    /// Whether a node that starts goes on asking upstreams, one of which is in this
-    /// state.
+    /// Whether a starting node keeps polling upstreams after an answer with this state.
     fn should_keep_waiting(&self, state: &UpstreamState, now: Instant) -> bool {
         let starting = self.source == RecordSource::Undecided && now.since(self.started) < DEFERRAL_PATIENCE;
         starting && state.defers && !state.store_is_away()
     }
 
-    /// An upstream gave no answer. Gives back the pause before the next poll.
+    /// Notes that an upstream did not answer. Returns the backoff before the next poll.
     pub fn note_failure(&mut self, now: Instant) -> Duration {
         self.unanswered = self.unanswered.saturating_add(1);
         self.switch_upstream(now)
     }
 
-    /// Goes on to the next upstream, and to the store where two in a row can't be
-    /// relied on. Gives back the pause before the next poll.
+    /// Switches to the next upstream, and to the store if there is no other or too many failed.
+    /// Returns the backoff before the next poll.
     fn switch_upstream(&mut self, now: Instant) -> Duration {
         self.next_upstream = (self.next_upstream + 1) % self.upstreams.max(1);
         self.failures = self.failures.saturating_add(1);
@@ -215,8 +207,8 @@
             return Duration::ZERO;
         }
         self.source = RecordSource::Store;
-        // Every upstream is asked once before there is a pause; upstreams that
-        // answer are no reason for a longer one.
+        // Every upstream is polled once without a backoff; only unanswered polls
+        // extend the backoff.
         if self.failures <= self.upstreams as u32 {
             return Duration::ZERO;
         }
