--- a/crates/core/tests/disk_stall.rs
+++ b/crates/core/tests/disk_stall.rs
@@ -48,18 +48,18 @@
         self.now = self.now + time;
         for number in running {
             let actions = self.replicas.get_mut(number).map(|replica| replica.handle(self.now, Event::Tick));
-            self.carry_out(*number, actions.unwrap_or_default());
+            self.perform(*number, actions.unwrap_or_default());
         }
     }
 
-    fn carry_out(&mut self, number: u64, actions: Vec<Action>) {
+    fn perform(&mut self, number: u64, actions: Vec<Action>) {
         for action in actions {
             match action {
                 Action::Persist(_, _, entries) => {
                     let Some(last) = entries.last() else { continue };
                     let event = Event::Persisted(last.term, last.index);
                     let next = self.replicas.get_mut(&number).map(|replica| replica.handle(self.now, event));
-                    self.carry_out(number, next.unwrap_or_default());
+                    self.perform(number, next.unwrap_or_default());
                 }
                 Action::Send(message) => self.deliver(message),
                 _ => {}
@@ -73,7 +73,7 @@
         }
         let to = message.to;
         let actions = self.replicas.get_mut(&to).map(|replica| replica.handle(self.now, Event::Received(message)));
-        self.carry_out(to, actions.unwrap_or_default());
+        self.perform(to, actions.unwrap_or_default());
     }
 
     fn elect(&mut self) -> u64 {
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn without_its_heartbeats_the_others_elect() {
+fn followers_elect_a_leader_without_repeated_heartbeats() {
     let mut group = Group::new();
     let leader = group.elect();
     let followers = group.others(leader);
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn a_leader_whose_followers_stall_with_it_goes_on_leading() {
+fn a_leader_whose_followers_stall_too_stays_leader() {
     let mut group = Group::new();
     let leader = group.elect();
     let term = group.replicas[&leader].term();
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -20,7 +20,7 @@
     sequence: u64,
     loss: f64,
     random: SmallRng,
-    told: Vec<(usize, MemberRecord)>,
+    changes: Vec<(usize, MemberRecord)>,
     records: Vec<MemberRecord>,
 }
 
@@ -50,7 +50,7 @@
             sequence: 0,
             loss,
             random: SmallRng::seed_from_u64(seed),
-            told: Vec::new(),
+            changes: Vec::new(),
             records,
         };
         for number in 0..nodes {
@@ -84,7 +84,7 @@
                     self.sequence += 1;
                     self.queue.insert((now + delay, self.sequence), (number, to, datagram));
                 }
-                Action::Changed(record) => self.told.push((number, record)),
+                Action::Changed(record) => self.changes.push((number, record)),
                 Action::PeerRevision(..) => {}
             }
         }
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn everybody_learns_of_everybody() {
+fn every_node_discovers_all_others() {
     for seed in 0..5 {
         let mut network = Network::new(30, 1, 0.05, seed);
         network.run(Duration::from_secs(10));
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_death_is_known_everywhere_within_ten_seconds() {
+fn a_dead_node_is_detected_by_all_within_ten_seconds() {
     for seed in 0..10 {
         let mut network = Network::new(56, 1, 0.02, seed);
         network.run(Duration::from_secs(10));
@@ -148,17 +148,17 @@
 }
 
 #[test]
-fn a_lossy_network_declares_nobody_dead() {
+fn packet_loss_marks_no_node_dead() {
     for seed in 0..10 {
         let mut network = Network::new(30, 1, 0.10, seed);
         network.run(Duration::from_secs(60));
-        let dead: Vec<_> = network.told.iter().filter(|(_, record)| record.status() == MemberStatus::Dead).collect();
+        let dead: Vec<_> = network.changes.iter().filter(|(_, record)| record.status() == MemberStatus::Dead).collect();
         assert!(dead.is_empty(), "seed {seed}: {dead:?}");
     }
 }
 
 #[test]
-fn a_paused_node_comes_back_by_itself() {
+fn a_paused_node_rejoins_when_resumed() {
     for seed in 0..10 {
         let mut network = Network::new(20, 1, 0.02, seed);
         network.run(Duration::from_secs(8));
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn both_sides_of_a_healed_cut_find_each_other() {
+fn both_sides_of_a_healed_partition_rejoin() {
     for seed in 0..10 {
         let mut network = Network::new(18, 1, 0.02, seed);
         network.run(Duration::from_secs(8));
@@ -194,32 +194,32 @@
 }
 
 #[test]
-fn a_cut_of_one_link_between_two_nodes_kills_nobody() {
+fn a_cut_link_between_two_nodes_marks_neither_dead() {
     for seed in 0..10 {
         let mut network = Network::new(12, 1, 0.02, seed);
         network.run(Duration::from_secs(8));
         network.cut.extend([(2, 5), (5, 2)]);
-        network.told.clear();
+        network.changes.clear();
         network.run(Duration::from_secs(40));
-        let dead = network.told.iter().any(|(_, record)| record.status() == MemberStatus::Dead);
+        let dead = network.changes.iter().any(|(_, record)| record.status() == MemberStatus::Dead);
         assert!(!dead, "seed {seed}: others can reach both");
     }
 }
 
 #[test]
-fn a_planned_leave_is_known_within_a_second() {
+fn a_planned_leave_spreads_within_a_second() {
     for seed in 0..10 {
         let mut network = Network::new(30, 1, 0.02, seed);
         network.run(Duration::from_secs(8));
         network.handle(4, Event::Leave);
         network.run(Duration::from_secs(1));
-        let know = (0..30).filter(|at| network.status(*at, 4) == Some(MemberStatus::Leaving)).count();
-        assert!(know >= 28, "seed {seed}: {know} of 29 know");
+        let informed = (0..30).filter(|at| network.status(*at, 4) == Some(MemberStatus::Leaving)).count();
+        assert!(informed >= 28, "seed {seed}: {informed} of 29 know");
     }
 }
 
 #[test]
-fn a_new_start_supersedes_the_death_of_the_old_one() {
+fn a_restarted_node_supersedes_its_dead_record() {
     let mut network = Network::new(15, 1, 0.02, 1);
     network.run(Duration::from_secs(8));
     network.nodes[2] = None;
@@ -241,10 +241,10 @@
         for _ in 0..80 {
             network.run(TICK);
             for number in 0..42 {
-                let heard = network.nodes[number]
+                let received = network.nodes[number]
                     .as_ref()
                     .is_some_and(|node| node.summaries().any(|summary| summary.revision == 9));
-                if heard {
+                if received {
                     let own = Summary { node: network.records[number].node, revision: 9, ..Summary::default() };
                     network.handle(number, Event::OwnSummary(own));
                 }
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn a_member_known_from_the_machine_list_alone_is_asked_until_its_record_came() {
+fn a_seed_is_asked_for_its_record_until_the_record_arrives() {
     let mut now = Instant::from_micros(1_000_000);
     let mut node = Membership::new(Settings::default(), record(0, "region"), now, 1);
     let other = record(1, "region");
@@ -284,13 +284,13 @@
         }
     }
     assert!(probes.len() > 10 && probes.iter().all(|join| *join), "{probes:?}");
-    let told = Datagram {
+    let update = Datagram {
         from: other.node,
         to: record(0, "region").node,
         answer: true,
         updates: vec![MemberRecord { replica: 7, ..other }],
         ..Datagram::default()
     };
-    node.handle(now, Event::Received(told));
+    node.handle(now, Event::Received(update));
     assert!(node.records().all(|record| record.replica == 7));
 }
--- a/crates/core/tests/replication.rs
+++ b/crates/core/tests/replication.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_vote_is_persisted_before_it_is_told() {
+fn a_vote_is_persisted_before_it_is_sent() {
     let mut core = start(restored(&["a", "b", "c"], HardState::default(), &[]), AckRule::Quorum);
     let request = VoteRequest { last_index: 0, last_term: 0, probe: false, transfer: false };
     let actions = core.handle(at(500), message(2, 5, Body::VoteRequest(request)));
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn the_rule_reachable_waits_for_every_voter_that_answers() {
+fn the_reachable_rule_waits_for_every_reachable_voter() {
     let mut core = start(restored(&["a", "b", "c"], HardState::default(), &[]), AckRule::Reachable);
     let (now, actions) = elect(&mut core, &[2, 3]);
     persisted(&mut core, now, &actions);
--- a/crates/core/tests/simulation/actions.rs
+++ b/crates/core/tests/simulation/actions.rs
@@ -1,7 +1,7 @@
 //! What a machine does with the actions of its replica.
 
 use super::machine::{Disk, Running, Waiter};
-use super::world::{Destination, Happening, MachineNumber, Message, World};
+use super::world::{Destination, MachineNumber, Message, SimEvent, World};
 use latchwheel_core::code::ResultCode;
 use latchwheel_core::jobs::JobState;
 use latchwheel_core::leasing::Leasing;
@@ -39,13 +39,13 @@
                     running.pending_hard = Some(hard);
                     running.pending_writes.push((truncate, entries));
                 }
-                other => running.rest.push(other),
+                other => running.deferred_actions.push(other),
             }
         }
         let boot = self.machines[number].boot;
         let slow = self.random.random_bool(0.02);
-        let time = if slow { self.milliseconds(50, 400) } else { self.milliseconds(0, 3) };
-        self.schedule(time, Happening::Synced(number, boot));
+        let time = if slow { self.random_milliseconds(50, 400) } else { self.random_milliseconds(0, 3) };
+        self.schedule(time, SimEvent::Synced(number, boot));
     }
 
     pub fn synced(&mut self, number: MachineNumber, boot: u64) {
@@ -58,12 +58,12 @@
         let last = running.pending_writes.iter().rev().find_map(|(_, entries)| entries.last()).cloned();
         machine.disk.write(running);
         running.blocked = false;
-        let rest = std::mem::take(&mut running.rest);
+        let deferred_actions = std::mem::take(&mut running.deferred_actions);
         let mut next = Vec::new();
         if let Some(entry) = last {
             next = running.core.handle(now, Event::Persisted(entry.term, entry.index));
         }
-        for action in rest {
+        for action in deferred_actions {
             self.perform_one(number, action);
         }
         self.perform(number, next);
@@ -113,12 +113,12 @@
             Action::PullState(from) => {
                 let source = self.machine_of(from);
                 let boot = self.machines[number].boot;
-                let after = self.milliseconds(5, 200);
-                self.schedule(after, Happening::Pulled(number, boot, source));
+                let after = self.random_milliseconds(5, 200);
+                self.schedule(after, SimEvent::Pulled(number, boot, source));
             }
             Action::Elected(term) => {
                 let replica = self.machines[number].replica;
-                let earlier = self.leaders.insert(term, replica);
+                let earlier = self.leader_by_term.insert(term, replica);
                 assert!(earlier.is_none_or(|earlier| earlier == replica), "two leaders of term {term}");
                 if let Some(running) = self.machines[number].running.as_mut() {
                     running.leasing = Some(Leasing::new(now, term, &running.state));
@@ -144,15 +144,15 @@
             return;
         }
         let now = self.now;
-        let taken = source.and_then(|source| {
-            let way = (self.machines[number].zone.clone(), self.machines[source].zone.clone());
+        let pulled_state = source.and_then(|source| {
+            let link = (self.machines[number].zone.clone(), self.machines[source].zone.clone());
             let running = self.machines[source].running.as_ref()?;
-            let reachable = !self.cut.contains(&way) && !self.machines[source].paused;
+            let reachable = !self.cut.contains(&link) && !self.machines[source].paused;
             reachable.then(|| (running.core.base_at_applied(), running.state.clone()))
         });
         let machine = &mut self.machines[number];
         let Some(running) = machine.running.as_mut() else { return };
-        let Some((base, state)) = taken else { return running.core.state_pull_failed() };
+        let Some((base, state)) = pulled_state else { return running.core.state_pull_failed() };
         machine.disk.base = base.clone();
         machine.disk.base_state = state.clone();
         machine.disk.entries.clear();
@@ -178,7 +178,7 @@
                 let command = Command::decode(entry.payload.clone()).expect("a committed command can be read");
                 let applied = running.state.apply(command.clone());
                 if let Some(leasing) = running.leasing.as_mut() {
-                    follow(leasing, &command, &running.state);
+                    update_leasing(leasing, &command, &running.state);
                 }
                 if let Some((term, identity)) = running.by_index.remove(&entry.index) {
                     let waiter = running.proposals.remove(&identity);
@@ -228,7 +228,7 @@
             Some(Waiter::Grant { holder, request, items, ended }) => {
                 if result.is_ok() {
                     let term = self.machines[number].running.as_ref().map_or(0, |running| running.core.term());
-                    let message = Message::Leased { request, term, items, ended, leader, taken: true };
+                    let message = Message::Leased { request, term, items, ended, leader, accepted: true };
                     self.send(Some(number), Destination::Machine(holder), message);
                 }
             }
@@ -260,7 +260,7 @@
     }
 }
 
-fn follow(leasing: &mut Leasing, command: &Command, state: &JobState) {
+fn update_leasing(leasing: &mut Leasing, command: &Command, state: &JobState) {
     match &command.body {
         Some(Body::CreateJob(created)) => {
             if let Some(job) = state.job(&created.job).filter(|job| !job.has_ended()) {
@@ -279,7 +279,7 @@
                 leasing.close_job(job);
             }
         }
-        Some(Body::Batch(batch)) => batch.commands.iter().for_each(|command| follow(leasing, command, state)),
+        Some(Body::Batch(batch)) => batch.commands.iter().for_each(|command| update_leasing(leasing, command, state)),
         _ => {}
     }
 }
--- a/crates/core/tests/simulation/checks.rs
+++ b/crates/core/tests/simulation/checks.rs
@@ -9,7 +9,7 @@
 /// After an acknowledged cancel, items may still start for as long as a
 /// holder that can't be reached may hold its lease, or a leader that was cut
 /// off may still grant.
-const STOP_TIME: Duration = Duration::from_millis(LEASE_LENGTH.as_millis() as u64 + 1000);
+const CANCEL_GRACE: Duration = Duration::from_millis(LEASE_LENGTH.as_millis() as u64 + 1000);
 
 /// Checks a schedule that has come to rest.
 pub fn check(world: &World) {
@@ -74,7 +74,7 @@
         .iter()
         .filter(|((name, _), _)| *name == job.record.job)
         .flat_map(|(_, runs)| runs)
-        .find(|run| run.at > at + STOP_TIME);
+        .find(|run| run.at > at + CANCEL_GRACE);
     assert!(late.is_none(), "{} started an item long after its cancel: {late:?}", job.record.job);
 }
 
--- a/crates/core/tests/simulation/client.rs
+++ b/crates/core/tests/simulation/client.rs
@@ -1,7 +1,7 @@
 //! A client: it makes a job, resends until it is acknowledged, and may
 //! cancel it.
 
-use super::world::{Destination, Happening, MachineNumber, Message, World};
+use super::world::{Destination, MachineNumber, Message, SimEvent, World};
 use latchwheel_core::code::ResultCode;
 use latchwheel_core::time::Instant;
 use latchwheel_protocol::v1::command::Body;
@@ -79,8 +79,8 @@
 
 impl World {
     pub fn client_tick(&mut self, number: usize) {
-        let after = self.milliseconds(TICK.0, TICK.1);
-        self.schedule(after, Happening::ClientTick(number));
+        let after = self.random_milliseconds(TICK.0, TICK.1);
+        self.schedule(after, SimEvent::ClientTick(number));
         let now = self.now;
         let machine = self.random.random_range(0..self.machines.len());
         let client = &mut self.clients[number];
@@ -123,6 +123,6 @@
             (step, code) => panic!("step {step} came to {code:?}"),
         }
         let soon = Duration::from_millis(1);
-        self.schedule(soon, Happening::ClientTick(number));
+        self.schedule(soon, SimEvent::ClientTick(number));
     }
 }
--- a/crates/core/tests/simulation/holder.rs
+++ b/crates/core/tests/simulation/holder.rs
@@ -1,7 +1,7 @@
 //! The part of a machine that runs batch items: it leases them, runs them at
 //! its engines, and hands the results in until they are committed.
 
-use super::world::{Destination, EngineRun, Happening, LeaseAsk, MachineNumber, Message, World};
+use super::world::{Destination, EngineRun, LeaseQuery, MachineNumber, Message, SimEvent, World};
 use latchwheel_core::code::ResultCode;
 use latchwheel_core::leasing::LEASE_LENGTH;
 use latchwheel_core::time::Instant;
@@ -17,7 +17,7 @@
 
 /// State of a held item.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Held {
+pub enum ItemPhase {
     Waiting,
     Runs,
     Done,
@@ -25,7 +25,7 @@
 
 /// Results on their way to the leader.
 #[derive(Clone, Debug)]
-pub struct HandedIn {
+pub struct SubmittedResults {
     pub request: u64,
     pub sent: Instant,
     pub items: Vec<(String, u64)>,
@@ -34,20 +34,20 @@
 /// The holder of one machine.
 #[derive(Default)]
 pub struct Holder {
-    pub items: BTreeMap<(String, u64), (u64, Held)>,
+    pub items: BTreeMap<(String, u64), (u64, ItemPhase)>,
     pub leader: Option<MachineNumber>,
     pub term: u64,
     pub valid_until: Instant,
     pub send_positions: bool,
     pub lease_request: Option<(u64, Instant)>,
-    pub complete_request: Option<HandedIn>,
+    pub complete_request: Option<SubmittedResults>,
     pub requests: u64,
     pub unanswered: UnansweredRequests,
 }
 
 impl Holder {
     /// The holder of a machine; no two use one request number.
-    pub fn of(machine: MachineNumber) -> Self {
+    pub fn for_machine(machine: MachineNumber) -> Self {
         Self { requests: (machine as u64) << 32, ..Self::default() }
     }
 
@@ -76,14 +76,14 @@
         if self.machines[number].boot != boot || !self.is_alive(number) {
             return;
         }
-        let after = self.milliseconds(TICK.0, TICK.1);
-        self.schedule(after, Happening::HolderTick(number, boot));
+        let after = self.random_milliseconds(TICK.0, TICK.1);
+        self.schedule(after, SimEvent::HolderTick(number, boot));
         if self.machines[number].paused {
             return;
         }
         self.start_items(number);
-        self.ask_for_items(number);
-        self.hand_in(number);
+        self.request_lease(number);
+        self.submit_results(number);
     }
 
     /// Starts waiting items; a lease is checked at the moment of use.
@@ -92,23 +92,23 @@
             return;
         }
         let holder = &self.holders[number];
-        let running = holder.items.values().filter(|(_, held)| *held == Held::Runs).count();
+        let running = holder.items.values().filter(|(_, phase)| *phase == ItemPhase::Runs).count();
         let next: Vec<(String, u64)> = holder
             .items
             .iter()
-            .filter(|(_, (_, held))| *held == Held::Waiting)
+            .filter(|(_, (_, phase))| *phase == ItemPhase::Waiting)
             .map(|(item, _)| item.clone())
             .take(ENGINE_SLOTS.saturating_sub(running))
             .collect();
         for (job, position) in next {
             if let Some(entry) = self.holders[number].items.get_mut(&(job.clone(), position)) {
-                entry.1 = Held::Runs;
+                entry.1 = ItemPhase::Runs;
             }
             let run = EngineRun { at: self.now, holder: number };
             self.runs.entry((job.clone(), position)).or_default().push(run);
-            let time = self.milliseconds(20, 700);
+            let time = self.random_milliseconds(20, 700);
             let boot = self.machines[number].boot;
-            self.schedule(time, Happening::EngineDone { holder: number, boot, job, position });
+            self.schedule(time, SimEvent::EngineDone { holder: number, boot, job, position });
         }
     }
 
@@ -117,18 +117,18 @@
             return;
         }
         if let Some(entry) = self.holders[number].items.get_mut(&(job, position)) {
-            entry.1 = Held::Done;
+            entry.1 = ItemPhase::Done;
         }
     }
 
-    fn guess_leader(&mut self, number: MachineNumber) -> MachineNumber {
+    fn leader_or_random(&mut self, number: MachineNumber) -> MachineNumber {
         let random = self.random.random_range(0..self.machines.len());
         self.holders[number].leader.unwrap_or(random)
     }
 
-    fn ask_for_items(&mut self, number: MachineNumber) {
+    fn request_lease(&mut self, number: MachineNumber) {
         let now = self.now;
-        let leader = self.guess_leader(number);
+        let leader = self.leader_or_random(number);
         let holder = &mut self.holders[number];
         match holder.lease_request {
             Some((_, sent)) if now.since(sent) < REQUEST_TIMEOUT => return,
@@ -138,34 +138,34 @@
             }
             None => {}
         }
-        let waiting = holder.items.values().filter(|(_, held)| *held == Held::Waiting).count();
+        let waiting = holder.items.values().filter(|(_, phase)| *phase == ItemPhase::Waiting).count();
         holder.requests += 1;
         holder.lease_request = Some((holder.requests, now));
-        let ask = LeaseAsk {
+        let query = LeaseQuery {
             request: holder.requests,
-            room: (2 * ENGINE_SLOTS).saturating_sub(waiting),
+            free_slots: (2 * ENGINE_SLOTS).saturating_sub(waiting),
             held: holder.chunks(holder.send_positions),
             term: holder.term,
             unanswered: holder.unanswered.to_tell(now),
         };
-        let message = Message::Lease { holder: number, ask };
+        let message = Message::Lease { holder: number, query };
         self.send(Some(number), Destination::Machine(leader), message);
     }
 
-    fn hand_in(&mut self, number: MachineNumber) {
+    fn submit_results(&mut self, number: MachineNumber) {
         let now = self.now;
-        let leader = self.guess_leader(number);
-        let give_back = self.random.random_bool(0.05);
+        let leader = self.leader_or_random(number);
+        let return_items = self.random.random_bool(0.05);
         let holder = &mut self.holders[number];
         match &holder.complete_request {
-            Some(handed_in) if now.since(handed_in.sent) < REQUEST_TIMEOUT => return,
+            Some(submitted) if now.since(submitted.sent) < REQUEST_TIMEOUT => return,
             _ => {}
         }
-        let of_state = |holder: &Holder, state: &Held| -> Vec<(String, u64)> {
-            holder.items.iter().filter(|(_, (_, held))| held == state).map(|(item, _)| item.clone()).collect()
+        let of_state = |holder: &Holder, state: &ItemPhase| -> Vec<(String, u64)> {
+            holder.items.iter().filter(|(_, (_, phase))| phase == state).map(|(item, _)| item.clone()).collect()
         };
-        let done = of_state(holder, &Held::Done);
-        let waiting = if give_back { of_state(holder, &Held::Waiting) } else { Vec::new() };
+        let done = of_state(holder, &ItemPhase::Done);
+        let waiting = if return_items { of_state(holder, &ItemPhase::Waiting) } else { Vec::new() };
         if done.is_empty() && waiting.is_empty() {
             return;
         }
@@ -187,13 +187,13 @@
             by_job.into_iter().map(|(job, results)| CompleteItems { job, results, at_seconds: 1 }).collect();
         holder.requests += 1;
         let request = holder.requests;
-        holder.complete_request = Some(HandedIn { request, sent: now, items: done });
+        holder.complete_request = Some(SubmittedResults { request, sent: now, items: done });
         let body = CompleteRequest { completions, returned, ..CompleteRequest::default() };
         let message = Message::Complete { holder: number, request, body };
-        if give_back {
+        if return_items {
             // The runtime sends until it is answered: a late double arrives.
-            let later = self.milliseconds(100, 900);
-            let doubled = Happening::Deliver(Destination::Machine(leader), message.clone());
+            let later = self.random_milliseconds(100, 900);
+            let doubled = SimEvent::Deliver(Destination::Machine(leader), message.clone());
             self.schedule(later, doubled);
         }
         self.send(Some(number), Destination::Machine(leader), message);
@@ -203,38 +203,39 @@
         let now = self.now;
         let holder = &mut self.holders[number];
         match message {
-            Message::Leased { request, term, items, ended, leader, taken } => {
+            Message::Leased { request, term, items, ended, leader, accepted } => {
                 let Some((expected, sent)) = holder.lease_request else { return };
                 if expected != request {
                     return;
                 }
                 holder.lease_request = None;
                 holder.leader = leader;
-                holder.send_positions = !taken && term != 0;
+                holder.send_positions = !accepted && term != 0;
                 if term != 0 {
                     holder.term = term;
                 }
-                if !taken {
+                if !accepted {
                     return;
                 }
                 // A lease counts from before it was asked for.
                 holder.valid_until = sent + LEASE_LENGTH;
                 holder.items.retain(|(job, _), _| !ended.contains(job));
                 for item in items {
-                    let entry = holder.items.entry((item.job, item.position)).or_insert((item.lease, Held::Waiting));
+                    let entry =
+                        holder.items.entry((item.job, item.position)).or_insert((item.lease, ItemPhase::Waiting));
                     entry.0 = item.lease;
                 }
                 debug_assert!(now >= sent);
             }
             Message::Completed { request, committed, leader } => {
-                let Some(handed_in) = holder.complete_request.clone() else { return };
-                if handed_in.request != request {
+                let Some(submitted) = holder.complete_request.clone() else { return };
+                if submitted.request != request {
                     return;
                 }
                 holder.complete_request = None;
                 holder.leader = leader;
                 if committed {
-                    holder.items.retain(|item, _| !handed_in.items.contains(item));
+                    holder.items.retain(|item, _| !submitted.items.contains(item));
                 }
             }
             _ => {}
--- a/crates/core/tests/simulation/machine.rs
+++ b/crates/core/tests/simulation/machine.rs
@@ -2,7 +2,7 @@
 //! in order, nothing behind a sync before the sync has ended, and a crash
 //! takes whatever was not synced.
 
-use super::world::{Destination, Happening, LeaseAsk, MachineNumber, Message, World};
+use super::world::{Destination, LeaseQuery, MachineNumber, Message, SimEvent, World};
 use latchwheel_core::identity::NodeId;
 use latchwheel_core::jobs::JobState;
 use latchwheel_core::leasing::{Asker, Leasing};
@@ -50,7 +50,7 @@
     pub blocked: bool,
     pub pending_hard: Option<HardState>,
     pub pending_writes: Vec<(Option<u64>, Vec<Entry>)>,
-    pub rest: Vec<Action>,
+    pub deferred_actions: Vec<Action>,
     pub inbox: VecDeque<Message>,
     pub lost_since: BTreeMap<u64, Instant>,
     pub ticks: u64,
@@ -117,7 +117,7 @@
             blocked: false,
             pending_hard: None,
             pending_writes: Vec::new(),
-            rest: Vec::new(),
+            deferred_actions: Vec::new(),
             inbox: VecDeque::new(),
             lost_since: BTreeMap::new(),
             ticks: 0,
@@ -125,9 +125,9 @@
         });
         let boot = machine.boot;
         self.holders[number].reset();
-        self.schedule(TICK, Happening::MachineTick(number, boot));
-        let after = self.milliseconds(10, 80);
-        self.schedule(after, Happening::HolderTick(number, boot));
+        self.schedule(TICK, SimEvent::MachineTick(number, boot));
+        let after = self.random_milliseconds(10, 80);
+        self.schedule(after, SimEvent::HolderTick(number, boot));
     }
 
     pub fn crash(&mut self, number: MachineNumber) {
@@ -152,7 +152,7 @@
         if self.machines[number].boot != boot || self.machines[number].running.is_none() {
             return;
         }
-        self.schedule(TICK, Happening::MachineTick(number, boot));
+        self.schedule(TICK, SimEvent::MachineTick(number, boot));
         if self.machines[number].paused {
             return;
         }
@@ -174,7 +174,7 @@
         self.machines[number].paused = false;
         let deferred = std::mem::take(&mut self.machines[number].deferred);
         for message in deferred {
-            self.schedule(Duration::ZERO, Happening::Deliver(Destination::Machine(number), message));
+            self.schedule(Duration::ZERO, SimEvent::Deliver(Destination::Machine(number), message));
         }
     }
 
@@ -193,7 +193,7 @@
             Message::Propose { client, request, command } => {
                 self.propose(number, command, Waiter::Client { client, request });
             }
-            Message::Lease { holder, ask } => self.serve_lease(number, holder, ask),
+            Message::Lease { holder, query } => self.serve_lease(number, holder, query),
             Message::Complete { holder, request, body } => self.serve_complete(number, holder, request, body),
             Message::Proposed { .. } | Message::Leased { .. } | Message::Completed { .. } => {}
         }
@@ -215,20 +215,20 @@
         self.machine_of(running.core.leader())
     }
 
-    fn serve_lease(&mut self, number: MachineNumber, holder: MachineNumber, ask: LeaseAsk) {
-        let LeaseAsk { request, room, held, term, unanswered } = ask;
+    fn serve_lease(&mut self, number: MachineNumber, holder: MachineNumber, query: LeaseQuery) {
+        let LeaseQuery { request, free_slots, held, term, unanswered } = query;
         let now = self.now;
         let leader = self.leader_seen_by(number);
         let Some(running) = self.machines[number].running.as_mut() else { return };
         let own_term = running.core.term();
         let Some(leasing) = running.leasing.as_mut() else {
-            let answer = Message::Leased { request, term: 0, items: vec![], ended: vec![], leader, taken: false };
+            let answer = Message::Leased { request, term: 0, items: vec![], ended: vec![], leader, accepted: false };
             return self.send(Some(number), Destination::Machine(holder), answer);
         };
         let without_positions = !held.is_empty() && held.iter().all(|chunk| chunk.positions.is_empty());
         if term != own_term && without_positions {
             let answer =
-                Message::Leased { request, term: own_term, items: vec![], ended: vec![], leader, taken: false };
+                Message::Leased { request, term: own_term, items: vec![], ended: vec![], leader, accepted: false };
             return self.send(Some(number), Destination::Machine(holder), answer);
         }
         leasing.take_back(now, node_of(holder), &unanswered, &running.state);
@@ -236,7 +236,7 @@
         let asker = Asker { node: node_of(holder), request };
         let mut items = Vec::new();
         let mut starts = Vec::new();
-        for grant in leasing.grant(now, asker, "row", room, &running.state) {
+        for grant in leasing.grant(now, asker, "row", free_slots, &running.state) {
             let Some(job) = running.state.job(&grant.job) else { continue };
             if !job.record.repeatable {
                 let start = StartItems {
@@ -256,7 +256,7 @@
             }));
         }
         if starts.is_empty() {
-            let answer = Message::Leased { request, term: own_term, items, ended, leader, taken: true };
+            let answer = Message::Leased { request, term: own_term, items, ended, leader, accepted: true };
             return self.send(Some(number), Destination::Machine(holder), answer);
         }
         let command = Command { body: Some(Body::Batch(Batch { commands: starts })) };
@@ -294,7 +294,7 @@
     }
 
     /// Sets the group's first members and starts all machines.
-    pub fn found(&mut self, members: &Members) {
+    pub fn bootstrap(&mut self, members: &Members) {
         for number in 0..self.machines.len() {
             let replica = self.machines[number].replica;
             if members.replicas.iter().any(|member| member.replica == replica) {
--- a/crates/core/tests/simulation/schedule.rs
+++ b/crates/core/tests/simulation/schedule.rs
@@ -3,7 +3,7 @@
 use super::checks;
 use super::client::{Client, JobPlan};
 use super::holder::Holder;
-use super::world::{Happening, World};
+use super::world::{SimEvent, World};
 use latchwheel_core::replication::replacement::first_members;
 use latchwheel_core::replication::{AckRule, Settings};
 use latchwheel_protocol::v1::Replica;
@@ -49,7 +49,7 @@
         let zone = format!("zone-{}", number % settings.zones);
         let replica = world.random.random::<u64>() | 1;
         world.add_machine(&zone, replica, replication, settings.replicas);
-        world.holders.push(Holder::of(world.holders.len()));
+        world.holders.push(Holder::for_machine(world.holders.len()));
     }
     let present: Vec<Replica> = world
         .machines
@@ -62,10 +62,10 @@
             voter: false,
         })
         .collect();
-    world.found(&first_members(&present, settings.replicas));
+    world.bootstrap(&first_members(&present, settings.replicas));
     for number in 0..settings.jobs {
         let cancel = world.random.random_bool(0.25);
-        let cancel_at = cancel.then(|| world.now + world.milliseconds(500, 7000));
+        let cancel_at = cancel.then(|| world.now + world.random_milliseconds(500, 7000));
         let plan = JobPlan {
             job: format!("job-{number}"),
             file: format!("file-{number}"),
@@ -74,14 +74,14 @@
             cancel_at,
         };
         world.clients.push(Client::new(plan));
-        let after = world.milliseconds(0, 4000);
-        world.schedule(after, Happening::ClientTick(number));
+        let after = world.random_milliseconds(0, 4000);
+        world.schedule(after, SimEvent::ClientTick(number));
     }
     world.fault_kinds = settings.faults.clone();
     world.faults_end = world.now + FAULT_TIME;
-    let first = world.milliseconds(300, 1500);
+    let first = world.random_milliseconds(300, 1500);
     if !settings.faults.is_empty() {
-        world.schedule(first, Happening::Fault);
+        world.schedule(first, SimEvent::Fault);
     }
     world.run_until(world.faults_end);
     world.loss = 0.0;
@@ -100,20 +100,20 @@
         if self.now >= self.faults_end {
             return;
         }
-        let after = self.milliseconds(200, 1800);
-        self.schedule(after, Happening::Fault);
+        let after = self.random_milliseconds(200, 1800);
+        self.schedule(after, SimEvent::Fault);
         let kinds = self.fault_kinds.clone();
         let Some(kind) = kinds.choose(&mut self.random) else { return };
         let machine = self.random.random_range(0..self.machines.len());
-        let time = self.milliseconds(50, 2500);
+        let time = self.random_milliseconds(50, 2500);
         match kind {
             FaultKind::Crash => {
                 self.crash(machine);
-                self.schedule(time, Happening::Restart(machine));
+                self.schedule(time, SimEvent::Restart(machine));
             }
             FaultKind::Pause => {
                 self.machines[machine].paused = true;
-                self.schedule(time, Happening::Resume(machine));
+                self.schedule(time, SimEvent::Resume(machine));
             }
             FaultKind::CutOneWay | FaultKind::CutBothWays => {
                 let zones: Vec<String> = self.machines.iter().map(|machine| machine.zone.clone()).collect();
@@ -125,7 +125,7 @@
                     if *kind == FaultKind::CutBothWays {
                         self.cut.insert((to.clone(), from.clone()));
                     }
-                    self.schedule(time, Happening::Heal);
+                    self.schedule(time, SimEvent::Heal);
                 }
             }
             FaultKind::LoseDisk => {
@@ -133,7 +133,7 @@
                 // replaced this one, as the design promises to survive.
                 if self.may_lose_disk() {
                     self.lose_disk(machine);
-                    self.schedule(time, Happening::Restart(machine));
+                    self.schedule(time, SimEvent::Restart(machine));
                 }
             }
         }
@@ -142,11 +142,11 @@
     /// Whether the group has replaced what was lost: all members vote, and
     /// the logs of all of them hold the same last change of members.
     fn may_lose_disk(&self) -> bool {
-        let leading = self.machines.iter().filter_map(|machine| machine.running.as_ref()).max_by_key(|running| {
+        let latest_leader = self.machines.iter().filter_map(|machine| machine.running.as_ref()).max_by_key(|running| {
             let leads = running.core.role() == latchwheel_core::replication::Role::Leader;
             (leads, running.core.term())
         });
-        let Some(leader) = leading else { return false };
+        let Some(leader) = latest_leader else { return false };
         let members = leader.core.members();
         let agrees = |replica: u64| {
             let machine = self.machine_of(replica).map(|number| &self.machines[number]);
--- a/crates/core/tests/simulation/seeds.rs
+++ b/crates/core/tests/simulation/seeds.rs
@@ -9,7 +9,7 @@
 /// Runs `check` with each seed; a failing seed is printed, and replays with
 /// `LATCHWHEEL_SEEDS=N..N+1`.
 pub fn for_each_seed(first: u64, count: u64, check: impl Fn(u64) + Sync) {
-    let (first, end) = chosen(first, count);
+    let (first, end) = seed_range(first, count);
     let next = AtomicU64::new(first);
     let threads = std::thread::available_parallelism().map_or(2, |cores| cores.get().min(8));
     std::thread::scope(|scope| {
@@ -28,9 +28,9 @@
     });
 }
 
-fn chosen(first: u64, count: u64) -> (u64, u64) {
-    let given = std::env::var(SEEDS_VARIABLE).ok();
-    let range = given.as_deref().and_then(|text| text.split_once(".."));
+fn seed_range(first: u64, count: u64) -> (u64, u64) {
+    let variable = std::env::var(SEEDS_VARIABLE).ok();
+    let range = variable.as_deref().and_then(|text| text.split_once(".."));
     match range.map(|(start, end)| (start.parse(), end.parse())) {
         Some((Ok(start), Ok(end))) => (start, end),
         _ => (first, first + count),
--- a/crates/core/tests/simulation/upkeep.rs
+++ b/crates/core/tests/simulation/upkeep.rs
@@ -60,7 +60,7 @@
         let mut commands = Vec::new();
         if let Some(leasing) = running.leasing.as_mut() {
             let lapsed = leasing.expire(now, &running.state, |node| alive_nodes.contains(&node.0));
-            commands.extend(lapsed.unknown.iter().map(|(job, positions)| unknown(job, positions)));
+            commands.extend(lapsed.unknown.iter().map(|(job, positions)| outcome_unknown_command(job, positions)));
         }
         let mut actions = Vec::new();
         if let Some(members) = change {
@@ -75,7 +75,7 @@
     }
 }
 
-fn unknown(job: &str, positions: &[u64]) -> Command {
+fn outcome_unknown_command(job: &str, positions: &[u64]) -> Command {
     let result = |position: &u64| ItemResult {
         position: *position,
         code: ResultCode::OutcomeUnknown.number(),
--- a/crates/core/tests/simulation/world.rs
+++ b/crates/core/tests/simulation/world.rs
@@ -17,10 +17,10 @@
 
 /// What a holder asks a leader for.
 #[derive(Clone, Debug)]
-pub struct LeaseAsk {
+pub struct LeaseQuery {
     /// Never used again by any holder.
     pub request: u64,
-    pub room: usize,
+    pub free_slots: usize,
     pub held: Vec<HeldChunk>,
     pub term: u64,
     pub unanswered: Vec<u64>,
@@ -43,7 +43,7 @@
     },
     Lease {
         holder: MachineNumber,
-        ask: LeaseAsk,
+        query: LeaseQuery,
     },
     Leased {
         request: u64,
@@ -51,7 +51,7 @@
         items: Vec<LeasedItem>,
         ended: Vec<String>,
         leader: Option<MachineNumber>,
-        taken: bool,
+        accepted: bool,
     },
     Complete {
         holder: MachineNumber,
@@ -74,7 +74,7 @@
 
 /// What happens at a point in time.
 #[derive(Clone, Debug)]
-pub enum Happening {
+pub enum SimEvent {
     Deliver(Destination, Message),
     MachineTick(MachineNumber, u64),
     HolderTick(MachineNumber, u64),
@@ -112,10 +112,10 @@
     pub cut: BTreeSet<(String, String)>,
     pub loss: f64,
     pub runs: HashMap<(String, u64), Vec<EngineRun>>,
-    pub leaders: BTreeMap<u64, u64>,
+    pub leader_by_term: BTreeMap<u64, u64>,
     pub fault_kinds: Vec<FaultKind>,
     pub faults_end: Instant,
-    queue: BTreeMap<(Instant, u64), Happening>,
+    queue: BTreeMap<(Instant, u64), SimEvent>,
     sequence: u64,
 }
 
@@ -130,7 +130,7 @@
             cut: BTreeSet::new(),
             loss: 0.0,
             runs: HashMap::new(),
-            leaders: BTreeMap::new(),
+            leader_by_term: BTreeMap::new(),
             fault_kinds: Vec::new(),
             faults_end: Instant::default(),
             queue: BTreeMap::new(),
@@ -138,20 +138,20 @@
         }
     }
 
-    pub fn schedule(&mut self, after: Duration, happening: Happening) {
+    pub fn schedule(&mut self, after: Duration, event: SimEvent) {
         self.sequence += 1;
-        self.queue.insert((self.now + after, self.sequence), happening);
+        self.queue.insert((self.now + after, self.sequence), event);
     }
 
-    pub fn milliseconds(&mut self, least: u64, most: u64) -> Duration {
-        Duration::from_micros(self.random.random_range(least * 1000..=most * 1000))
+    pub fn random_milliseconds(&mut self, min: u64, max: u64) -> Duration {
+        Duration::from_micros(self.random.random_range(min * 1000..=max * 1000))
     }
 
     /// Sends a message over the network of the sender's zone.
     pub fn send(&mut self, from: Option<MachineNumber>, to: Destination, message: Message) {
         if let (Some(from), Destination::Machine(to)) = (from, to) {
-            let way = (self.machines[from].zone.clone(), self.machines[to].zone.clone());
-            if from != to && self.cut.contains(&way) {
+            let link = (self.machines[from].zone.clone(), self.machines[to].zone.clone());
+            if from != to && self.cut.contains(&link) {
                 return;
             }
         }
@@ -160,8 +160,12 @@
         }
         let copies = if self.random.random_bool(self.loss / 4.0) { 2 } else { 1 };
         for _ in 0..copies {
-            let delay = if self.random.random_bool(0.05) { self.milliseconds(5, 120) } else { self.milliseconds(0, 4) };
-            self.schedule(delay, Happening::Deliver(to, message.clone()));
+            let delay = if self.random.random_bool(0.05) {
+                self.random_milliseconds(5, 120)
+            } else {
+                self.random_milliseconds(0, 4)
+            };
+            self.schedule(delay, SimEvent::Deliver(to, message.clone()));
         }
     }
 
@@ -171,27 +175,27 @@
             if entry.key().0 > end {
                 break;
             }
-            let ((at, _), happening) = entry.remove_entry();
+            let ((at, _), event) = entry.remove_entry();
             self.now = self.now.max(at);
-            self.happen(happening);
+            self.handle_event(event);
         }
         self.now = end;
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Deliver(Destination::Machine(to), message) => self.deliver_to_machine(to, message),
-            Happening::Deliver(Destination::Client(to), message) => self.deliver_to_client(to, message),
-            Happening::MachineTick(machine, boot) => self.machine_tick(machine, boot),
-            Happening::HolderTick(machine, boot) => self.holder_tick(machine, boot),
-            Happening::ClientTick(client) => self.client_tick(client),
-            Happening::Synced(machine, boot) => self.synced(machine, boot),
-            Happening::Pulled(machine, boot, from) => self.pulled(machine, boot, from),
-            Happening::EngineDone { holder, boot, job, position } => self.engine_done(holder, boot, job, position),
-            Happening::Fault => self.random_fault(),
-            Happening::Resume(machine) => self.resume(machine),
-            Happening::Restart(machine) => self.restart(machine),
-            Happening::Heal => self.cut.clear(),
+    fn handle_event(&mut self, event: SimEvent) {
+        match event {
+            SimEvent::Deliver(Destination::Machine(to), message) => self.deliver_to_machine(to, message),
+            SimEvent::Deliver(Destination::Client(to), message) => self.deliver_to_client(to, message),
+            SimEvent::MachineTick(machine, boot) => self.machine_tick(machine, boot),
+            SimEvent::HolderTick(machine, boot) => self.holder_tick(machine, boot),
+            SimEvent::ClientTick(client) => self.client_tick(client),
+            SimEvent::Synced(machine, boot) => self.synced(machine, boot),
+            SimEvent::Pulled(machine, boot, from) => self.pulled(machine, boot, from),
+            SimEvent::EngineDone { holder, boot, job, position } => self.engine_done(holder, boot, job, position),
+            SimEvent::Fault => self.random_fault(),
+            SimEvent::Resume(machine) => self.resume(machine),
+            SimEvent::Restart(machine) => self.restart(machine),
+            SimEvent::Heal => self.cut.clear(),
         }
     }
 
