--- a/crates/core/tests/simulation/actions.rs
+++ b/crates/core/tests/simulation/actions.rs
@@ -1,4 +1,4 @@
-//! What a machine does with the actions of its replica.
+//! Performs the actions of a machine's replica.
 
 use super::machine::{Disk, Running, Waiter};
 use super::world::{Destination, MachineNumber, Message, SimEvent, World};
@@ -31,7 +31,7 @@
         if !blocked {
             return;
         }
-        // The persists of the rest go with the first one; the rest waits.
+        // Later persists join this sync; all other actions wait for it.
         let Some(running) = self.machines[number].running.as_mut() else { return };
         for action in actions {
             match action {
@@ -84,7 +84,7 @@
     pub(super) fn perform_one(&mut self, number: MachineNumber, action: Action) {
         let now = self.now;
         match action {
-            Action::Persist(..) => unreachable!("persists are taken out before"),
+            Action::Persist(..) => unreachable!("perform handles persists"),
             Action::Send(message) => {
                 if let Some(to) = self.machine_of(message.to) {
                     self.send(Some(number), Destination::Machine(to), Message::Replication(message));
@@ -119,7 +119,7 @@
             Action::Elected(term) => {
                 let replica = self.machines[number].replica;
                 let earlier = self.leader_by_term.insert(term, replica);
-                assert!(earlier.is_none_or(|earlier| earlier == replica), "two leaders of term {term}");
+                assert!(earlier.is_none_or(|earlier| earlier == replica), "two leaders in term {term}");
                 if let Some(running) = self.machines[number].running.as_mut() {
                     running.leasing = Some(Leasing::new(now, term, &running.state));
                     running.lost_since.clear();
@@ -175,7 +175,7 @@
                 if entry.kind() != EntryKind::Command {
                     continue;
                 }
-                let command = Command::decode(entry.payload.clone()).expect("a committed command can be read");
+                let command = Command::decode(entry.payload.clone()).expect("a committed command decodes");
                 let applied = running.state.apply(command.clone());
                 if let Some(leasing) = running.leasing.as_mut() {
                     update_leasing(leasing, &command, &running.state);
@@ -203,7 +203,7 @@
         if running.core.log_size().0 < COMPACT_ENTRIES {
             return;
         }
-        // The simulated disk keeps the state as of its base only.
+        // The simulated disk stores the state only as of its base.
         let base = running.core.base_at_applied();
         machine.disk.base_state = running.state.clone();
         machine.disk.entries.retain(|index, _| *index > base.index);
@@ -242,7 +242,7 @@
 }
 
 impl Disk {
-    /// Puts what waits to be written on the self.
+    /// Writes the pending hard state and entries.
     pub fn write(&mut self, running: &mut Running) {
         if let Some(hard) = running.pending_hard.take() {
             self.hard = hard;
--- a/crates/core/tests/simulation/checks.rs
+++ b/crates/core/tests/simulation/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold at the end of every schedule.
+//! Invariants checked at the end of every schedule.
 
 use super::world::World;
 use latchwheel_core::jobs::{Job, JobState};
@@ -6,12 +6,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// After an acknowledged cancel, items may still start for as long as a
-/// holder that can't be reached may hold its lease, or a leader that was cut
-/// off may still grant.
+/// Time after an acknowledged cancellation in which items may still start: an
+/// unreachable holder keeps its lease, and a partitioned leader may still grant.
 const CANCEL_GRACE: Duration = Duration::from_millis(LEASE_LENGTH.as_millis() as u64 + 1000);
 
-/// Checks a schedule that has come to rest.
+/// Checks the final state of a schedule.
 pub fn check(world: &World) {
     check_logs(world);
     let state = final_state(world);
@@ -22,12 +21,12 @@
         if let Some(at) = client.cancel_acknowledged {
             check_cancelled(world, job, at);
         } else if client.step >= 4 && !client.ended_before_cancel && client.plan.cancel_at.is_none() {
-            assert!(!job.record.cancelled, "{} was cancelled by nobody", client.plan.job);
+            assert!(!job.record.cancelled, "{} is cancelled without a request", client.plan.job);
         }
     }
 }
 
-/// No two replicas applied different entries at an index.
+/// Checks that no two replicas applied different entries at an index.
 fn check_logs(world: &World) {
     let mut terms: BTreeMap<u64, u64> = BTreeMap::new();
     for running in world.machines.iter().filter_map(|machine| machine.running.as_ref()) {
@@ -56,7 +55,7 @@
         assert_eq!(ended, items, "{} did not end: {record:?}\n{}", record.job, describe(world));
     }
     if record.repeatable {
-        assert_eq!(record.failed, 0, "{} lost items that may be repeated", record.job);
+        assert_eq!(record.failed, 0, "{} failed repeatable items", record.job);
         return;
     }
     for position in 0..items {
@@ -68,17 +67,17 @@
 }
 
 fn check_cancelled(world: &World, job: &Job, at: latchwheel_core::time::Instant) {
-    assert!(job.record.cancelled, "the cancel of {} is lost", job.record.job);
+    assert!(job.record.cancelled, "the cancellation of {} is lost", job.record.job);
     let late = world
         .runs
         .iter()
         .filter(|((name, _), _)| *name == job.record.job)
         .flat_map(|(_, runs)| runs)
         .find(|run| run.at > at + CANCEL_GRACE);
-    assert!(late.is_none(), "{} started an item long after its cancel: {late:?}", job.record.job);
+    assert!(late.is_none(), "{} started an item long after its cancellation: {late:?}", job.record.job);
 }
 
-/// The machines at the end, for whoever replays a failing seed.
+/// Describes the machines, for the message of a failed check.
 fn describe(world: &World) -> String {
     let mut text = String::new();
     for (number, machine) in world.machines.iter().enumerate() {
--- a/crates/core/tests/simulation/client.rs
+++ b/crates/core/tests/simulation/client.rs
@@ -1,5 +1,5 @@
-//! A client: it makes a job, resends until it is acknowledged, and may
-//! cancel it.
+//! A client that creates a job, resends each request until it is acknowledged,
+//! and may cancel the job.
 
 use super::world::{Destination, MachineNumber, Message, SimEvent, World};
 use latchwheel_core::code::ResultCode;
@@ -11,7 +11,7 @@
 
 const TICK: (u64, u64) = (80, 300);
 
-/// What a client wants.
+/// The job that a client creates.
 #[derive(Clone, Debug)]
 pub struct JobPlan {
     pub job: String,
@@ -21,7 +21,7 @@
     pub cancel_at: Option<Instant>,
 }
 
-/// A client.
+/// State of a client.
 pub struct Client {
     pub plan: JobPlan,
     pub step: usize,
@@ -101,11 +101,11 @@
         if request != client.request {
             return;
         }
-        // A doubled answer must not count for the next step.
+        // A duplicate answer must not count for the next step.
         client.request += 1;
         client.leader = leader;
         let Ok(outcome) = result else { return };
-        let code = ResultCode::from_number(outcome.code).expect("a known code");
+        let code = ResultCode::from_number(outcome.code).expect("a valid result code");
         match (client.step, code) {
             (3, ResultCode::Accepted | ResultCode::Done) => {
                 client.created_at = Some(now);
@@ -120,7 +120,7 @@
                 client.step = 5;
             }
             (_, ResultCode::Done) => client.step += 1,
-            (step, code) => panic!("step {step} came to {code:?}"),
+            (step, code) => panic!("unexpected result {code:?} in step {step}"),
         }
         let soon = Duration::from_millis(1);
         self.schedule(soon, SimEvent::ClientTick(number));
--- a/crates/core/tests/simulation/holder.rs
+++ b/crates/core/tests/simulation/holder.rs
@@ -1,5 +1,5 @@
-//! The part of a machine that runs batch items: it leases them, runs them at
-//! its engines, and hands the results in until they are committed.
+//! The lease holder of a machine: it leases batch items, runs them at its
+//! engines, and submits the results until they are committed.
 
 use super::world::{Destination, EngineRun, LeaseQuery, MachineNumber, Message, SimEvent, World};
 use latchwheel_core::code::ResultCode;
@@ -15,7 +15,7 @@
 const ENGINE_SLOTS: usize = 3;
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// State of a held item.
+/// Phase of a leased item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ItemPhase {
     Waiting,
@@ -23,7 +23,7 @@
     Done,
 }
 
-/// Results on their way to the leader.
+/// Results submitted to the leader and not yet committed.
 #[derive(Clone, Debug)]
 pub struct SubmittedResults {
     pub request: u64,
@@ -31,7 +31,7 @@
     pub items: Vec<(String, u64)>,
 }
 
-/// The holder of one machine.
+/// State of one machine's lease holder.
 #[derive(Default)]
 pub struct Holder {
     pub items: BTreeMap<(String, u64), (u64, ItemPhase)>,
@@ -46,14 +46,14 @@
 }
 
 impl Holder {
-    /// The holder of a machine; no two use one request number.
+    /// Creates the holder of a machine, with request numbers that no other uses.
     pub fn for_machine(machine: MachineNumber) -> Self {
         Self { requests: (machine as u64) << 32, ..Self::default() }
     }
 
     pub fn reset(&mut self) {
-        // Request numbers go on, so that a late answer to an earlier start
-        // is not taken for one to this start.
+        // Request numbers continue, so that a late answer to the former process
+        // matches no request of the new one.
         *self = Holder { requests: self.requests, ..Holder::default() };
     }
 
@@ -86,7 +86,7 @@
         self.submit_results(number);
     }
 
-    /// Starts waiting items; a lease is checked at the moment of use.
+    /// Starts waiting items while the lease is valid.
     fn start_items(&mut self, number: MachineNumber) {
         if self.now >= self.holders[number].valid_until {
             return;
@@ -169,7 +169,7 @@
         if done.is_empty() && waiting.is_empty() {
             return;
         }
-        // An item that is given back is forgotten before it is told.
+        // Returned items are removed before the message is sent.
         let mut chunks: BTreeMap<(u64, String), Vec<u64>> = BTreeMap::new();
         for item in waiting {
             if let Some((lease, _)) = holder.items.remove(&item) {
@@ -191,7 +191,7 @@
         let body = CompleteRequest { completions, returned, ..CompleteRequest::default() };
         let message = Message::Complete { holder: number, request, body };
         if return_items {
-            // The runtime sends until it is answered: a late double arrives.
+            // The runtime resends until it is answered, so a late duplicate may arrive.
             let later = self.random_milliseconds(100, 900);
             let doubled = SimEvent::Deliver(Destination::Machine(leader), message.clone());
             self.schedule(later, doubled);
@@ -217,7 +217,7 @@
                 if !accepted {
                     return;
                 }
-                // A lease counts from before it was asked for.
+                // The lease starts at the time of the request, not of the answer.
                 holder.valid_until = sent + LEASE_LENGTH;
                 holder.items.retain(|(job, _), _| !ended.contains(job));
                 for item in items {
--- a/crates/core/tests/simulation/machine.rs
+++ b/crates/core/tests/simulation/machine.rs
@@ -1,6 +1,6 @@
-//! A machine with a disk and a replica. It behaves like the runtime: actions
-//! in order, nothing behind a sync before the sync has ended, and a crash
-//! takes whatever was not synced.
+//! A machine with a disk and a replica. Like the runtime, it performs actions in
+//! order and none before the preceding sync has ended; a crash loses all data
+//! that was not synced.
 
 use super::world::{Destination, LeaseQuery, MachineNumber, Message, SimEvent, World};
 use latchwheel_core::identity::NodeId;
@@ -20,7 +20,7 @@
 const TICK: Duration = Duration::from_millis(40);
 const UPKEEP_TICKS: u64 = 10;
 
-/// What a machine keeps over a crash.
+/// Data that survives a crash of the machine.
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
     pub hard: HardState,
@@ -29,7 +29,7 @@
     pub entries: BTreeMap<u64, Entry>,
 }
 
-/// Who waits for a proposal.
+/// The recipient of the answer to a proposal.
 #[derive(Clone, Debug)]
 pub enum Waiter {
     Client { client: usize, request: u64 },
@@ -38,7 +38,7 @@
     Nobody,
 }
 
-/// A process on a machine.
+/// The running process of a machine.
 pub struct Running {
     pub core: Replication,
     pub state: JobState,
@@ -54,11 +54,11 @@
     pub inbox: VecDeque<Message>,
     pub lost_since: BTreeMap<u64, Instant>,
     pub ticks: u64,
-    /// Every applied command, for the checks.
+    /// Index and term of every applied entry, for the checks; term zero for a pulled state.
     pub applied: Vec<(u64, u64)>,
 }
 
-/// A machine.
+/// A machine, which may be running, paused or down.
 pub struct Machine {
     pub zone: String,
     pub replica: u64,
@@ -131,7 +131,7 @@
     }
 
     pub fn crash(&mut self, number: MachineNumber) {
-        // A sync under way may or may not have reached the disk.
+        // A pending sync may or may not have reached the disk.
         let reached = self.random.random_bool(0.5);
         let machine = &mut self.machines[number];
         let Some(mut running) = machine.running.take() else { return };
@@ -285,7 +285,7 @@
         self.propose(number, command, Waiter::Complete { holder, request });
     }
 
-    /// Takes the whole disk of a machine; it comes back as a new replica.
+    /// Crashes a machine and erases its disk; it restarts as a new replica.
     pub fn lose_disk(&mut self, number: MachineNumber) {
         self.crash(number);
         let replica = self.random.random::<u64>() | 1;
@@ -293,7 +293,7 @@
         self.machines[number].replica = replica;
     }
 
-    /// Sets the group's first members and starts all machines.
+    /// Stores the initial members on their disks and starts all machines.
     pub fn bootstrap(&mut self, members: &Members) {
         for number in 0..self.machines.len() {
             let replica = self.machines[number].replica;
--- a/crates/core/tests/simulation/mod.rs
+++ b/crates/core/tests/simulation/mod.rs
@@ -1,6 +1,6 @@
-//! A seeded simulation of store groups: replicas with disks, holders of
-//! leases with engines, clients that resend, and a network that loses,
-//! delays, reorders and doubles messages. The same seed gives the same run.
+//! Deterministic simulation of store groups: replicas with disks, lease holders
+//! with engines, clients that resend, and a network that loses, delays, reorders
+//! and duplicates messages. The same seed gives the same run.
 
 #![allow(dead_code)]
 
--- a/crates/core/tests/simulation/schedule.rs
+++ b/crates/core/tests/simulation/schedule.rs
@@ -1,4 +1,4 @@
-//! One schedule: a group, jobs, random faults, then quiet, then the checks.
+//! One schedule: a group runs jobs under random faults, then recovers and is checked.
 
 use super::checks;
 use super::client::{Client, JobPlan};
@@ -11,7 +11,7 @@
 use rand::Rng;
 use std::time::Duration;
 
-/// A kind of fault.
+/// A kind of injected fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
     Crash,
@@ -21,7 +21,7 @@
     LoseDisk,
 }
 
-/// How a schedule is made.
+/// Settings of a schedule.
 #[derive(Clone, Debug)]
 pub struct ScheduleSettings {
     pub machines: usize,
@@ -129,8 +129,8 @@
                 }
             }
             FaultKind::LoseDisk => {
-                // One disk at a time: the next only after the group has
-                // replaced this one, as the design promises to survive.
+                // The group survives one lost disk at a time: the next is lost
+                // only after this one has been replaced.
                 if self.may_lose_disk() {
                     self.lose_disk(machine);
                     self.schedule(time, SimEvent::Restart(machine));
@@ -139,8 +139,8 @@
         }
     }
 
-    /// Whether the group has replaced what was lost: all members vote, and
-    /// the logs of all of them hold the same last change of members.
+    /// Whether the group is complete: all members are voters and agree on the
+    /// members.
     fn may_lose_disk(&self) -> bool {
         let latest_leader = self.machines.iter().filter_map(|machine| machine.running.as_ref()).max_by_key(|running| {
             let leads = running.core.role() == latchwheel_core::replication::Role::Leader;
--- a/crates/core/tests/simulation/seeds.rs
+++ b/crates/core/tests/simulation/seeds.rs
@@ -1,12 +1,12 @@
-//! Runs a check over many seeds on all cores, and names a failing one.
+//! Runs a check over many seeds in parallel and prints a failing one.
 
 use std::panic::AssertUnwindSafe;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Overrides the seeds: `START..END`.
+/// Environment variable that overrides the seeds: `START..END`.
 const SEEDS_VARIABLE: &str = "LATCHWHEEL_SEEDS";
 
-/// Runs `check` with each seed; a failing seed is printed, and replays with
+/// Runs `check` with each seed. A failing seed is printed; replay it with
 /// `LATCHWHEEL_SEEDS=N..N+1`.
 pub fn for_each_seed(first: u64, count: u64, check: impl Fn(u64) + Sync) {
     let (first, end) = seed_range(first, count);
--- a/crates/core/tests/simulation/upkeep.rs
+++ b/crates/core/tests/simulation/upkeep.rs
@@ -1,4 +1,4 @@
-//! What a leading machine does now and then.
+//! Periodic work of a leader: replacing members and expiring leases.
 
 use super::machine::{node_of, Waiter};
 use super::world::{MachineNumber, World};
@@ -15,8 +15,8 @@
 impl World {
     pub(super) fn upkeep(&mut self, number: MachineNumber) {
         let now = self.now;
-        // Membership is modelled as exact but late: a machine counts as gone
-        // while it is down.
+        // The simulated membership is exact: a machine is absent while it is down
+        // or paused.
         let present: Vec<Replica> = (0..self.machines.len())
             .filter(|other| self.is_alive(*other) && !self.machines[*other].paused)
             .map(|other| Replica {
--- a/crates/core/tests/simulation/world.rs
+++ b/crates/core/tests/simulation/world.rs
@@ -12,13 +12,13 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// Number of a machine.
+/// Index of a machine.
 pub type MachineNumber = usize;
 
-/// What a holder asks a leader for.
+/// A holder's request to a leader for items.
 #[derive(Clone, Debug)]
 pub struct LeaseQuery {
-    /// Never used again by any holder.
+    /// Unique over all holders.
     pub request: u64,
     pub free_slots: usize,
     pub held: Vec<HeldChunk>,
@@ -26,7 +26,7 @@
     pub unanswered: Vec<u64>,
 }
 
-/// What travels between machines and clients.
+/// A message between machines and clients.
 #[derive(Clone, Debug)]
 pub enum Message {
     Replication(ReplicationMessage),
@@ -65,23 +65,23 @@
     },
 }
 
-/// Where a message goes.
+/// Recipient of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Destination {
     Machine(MachineNumber),
     Client(usize),
 }
 
-/// What happens at a point in time.
+/// A scheduled event.
 #[derive(Clone, Debug)]
 pub enum SimEvent {
     Deliver(Destination, Message),
     MachineTick(MachineNumber, u64),
     HolderTick(MachineNumber, u64),
     ClientTick(usize),
-    /// The sync of a machine's disk ends; the rest of its actions follow.
+    /// The sync of a machine's disk ends; its deferred actions follow.
     Synced(MachineNumber, u64),
-    /// A pull of the whole state ends.
+    /// A pull of the state ends.
     Pulled(MachineNumber, u64, Option<MachineNumber>),
     EngineDone {
         holder: MachineNumber,
@@ -95,14 +95,14 @@
     Heal,
 }
 
-/// A run of an item at an engine.
+/// A start of an item at an engine.
 #[derive(Clone, Debug)]
 pub struct EngineRun {
     pub at: Instant,
     pub holder: MachineNumber,
 }
 
-/// Everything in one simulation.
+/// State of one simulation.
 pub struct World {
     pub now: Instant,
     pub random: SmallRng,
@@ -147,7 +147,7 @@
         Duration::from_micros(self.random.random_range(min * 1000..=max * 1000))
     }
 
-    /// Sends a message over the network of the sender's zone.
+    /// Sends a message, which may be lost, delayed or duplicated.
     pub fn send(&mut self, from: Option<MachineNumber>, to: Destination, message: Message) {
         if let (Some(from), Destination::Machine(to)) = (from, to) {
             let link = (self.machines[from].zone.clone(), self.machines[to].zone.clone());
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Runs until a point in time.
+    /// Processes events up to a point in time.
     pub fn run_until(&mut self, end: Instant) {
         while let Some(entry) = self.queue.first_entry() {
             if entry.key().0 > end {
