--- a/crates/core/tests/disk_stall.rs
+++ b/crates/core/tests/disk_stall.rs
@@ -1,8 +1,5 @@
-//! A replica whose disk stalls goes on being heard, so that a slow write costs no election.
-//!
-//! A shared disk that doesn't sync for a second stalls the threads of all replicas of a group
-//! at once. That must not depose the leader, since no replica is lost and callers would wait
-//! for an election.
+//! A short disk stall must not cause an election, even if it blocks the threads of all replicas of
+//! a group at once.
 
 use latchwheel_core::replication::{
     keep_alive_limit, AckRule, Action, Event, HardState, LogBase, Replication, Restored, Role, Settings,
@@ -20,10 +17,10 @@
     Settings { election_timeout: ELECTION_TIMEOUT, heartbeat: HEARTBEAT, ack_rule: AckRule::Quorum }
 }
 
-/// Three replicas whose messages arrive at once and whose disks never wait.
+/// Three replicas with instant message delivery and writes.
 struct Group {
     replicas: BTreeMap<u64, Replication>,
-    /// The answer that each replica sent last.
+    /// Last answer of each replica.
     answers: BTreeMap<u64, ReplicationMessage>,
     now: Instant,
 }
@@ -43,7 +40,7 @@
         Self { replicas: (1..=3).map(start).collect(), answers: BTreeMap::new(), now }
     }
 
-    /// Time passes for the replicas whose threads don't wait for a disk.
+    /// Advances the time, and ticks the replicas whose threads don't wait for a disk.
     fn tick(&mut self, running: &[u64], time: Duration) {
         self.now = self.now + time;
         for number in running {
@@ -105,7 +102,7 @@
     while stalled < keep_alive_limit(ELECTION_TIMEOUT) {
         group.tick(&followers, HEARTBEAT);
         stalled += HEARTBEAT;
-        // Its thread waits for the disk: whatever it is answered waits too.
+        // The leader's thread waits for the disk, so it processes no answers.
         for message in &repeated {
             let to = message.to;
             let event = Event::Received(message.clone());
@@ -141,8 +138,8 @@
     let term = group.replicas[&leader].term();
     let answers: Vec<ReplicationMessage> = group.answers.values().cloned().collect();
     assert_eq!(answers.len(), 2, "both followers have answered");
-    // All threads wait for the disk; the followers' last answers are repeated meanwhile, and
-    // the leader's thread takes them before it looks at the time.
+    // All threads wait for the disk while the followers' last answers are repeated. The leader's
+    // thread processes these answers before its next tick.
     group.now = group.now + ELECTION_TIMEOUT * 4;
     answers.into_iter().for_each(|answer| group.deliver(answer));
     group.tick(&[leader], Duration::from_millis(1));
--- a/crates/core/tests/membership.rs
+++ b/crates/core/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership among many nodes with a network that loses, delays and cuts.
+//! Membership of many nodes over a network with loss, delay and partitions.
 
 use latchwheel_core::identity::NodeId;
 use latchwheel_core::membership::{Action, Event, Membership, Settings};
@@ -61,11 +61,11 @@
     }
 
     fn start(&mut self, number: usize, incarnation: u64) {
-        // The machine list does not tell replicas; only the node itself does.
+        // The machine list has no replica identities; only the node's own record has.
         let me = MemberRecord { incarnation, replica: number as u64 + 1, ..self.records[number].clone() };
         let seed = self.random.random();
         self.nodes[number] = Some(Membership::new(Settings::default(), me, self.now, seed));
-        // The machine list names a few others.
+        // The machine list holds only some of the nodes.
         let seeds: Vec<MemberRecord> = self.records.iter().step_by(5).cloned().collect();
         self.handle(number, Event::Seeds(seeds));
     }
@@ -202,7 +202,7 @@
         network.changes.clear();
         network.run(Duration::from_secs(40));
         let dead = network.changes.iter().any(|(_, record)| record.status() == MemberStatus::Dead);
-        assert!(!dead, "seed {seed}: others can reach both");
+        assert!(!dead, "seed {seed}: both nodes are reachable by the others");
     }
 }
 
@@ -214,7 +214,7 @@
         network.handle(4, Event::Leave);
         network.run(Duration::from_secs(1));
         let informed = (0..30).filter(|at| network.status(*at, 4) == Some(MemberStatus::Leaving)).count();
-        assert!(informed >= 28, "seed {seed}: {informed} of 29 know");
+        assert!(informed >= 28, "seed {seed}: only {informed} of 29 nodes received it");
     }
 }
 
@@ -237,7 +237,7 @@
         network.run(Duration::from_secs(10));
         let summary = Summary { node: network.records[0].node, revision: 9, ..Summary::default() };
         network.handle(0, Event::OwnSummary(summary));
-        // Whoever hears of it takes it up, as the configuration log does.
+        // A node that receives the revision adopts it, as the configuration log does.
         for _ in 0..80 {
             network.run(TICK);
             for number in 0..42 {
@@ -256,7 +256,7 @@
                 !node.summaries().any(|summary| summary.revision == 9)
             })
             .count();
-        assert_eq!(behind, 0, "seed {seed}: after four seconds");
+        assert_eq!(behind, 0, "seed {seed}: nodes without the revision after four seconds");
     }
 }
 
@@ -271,7 +271,7 @@
         now = now + TICK;
         for action in node.handle(now, Event::Tick) {
             let Action::Send(_, probe) = action else { continue };
-            // The other's record was lost, and it has told it often enough.
+            // The answer carries no record, as when the update was lost.
             let answer = Datagram {
                 from: other.node,
                 to: probe.from,
--- a/crates/core/tests/replication.rs
+++ b/crates/core/tests/replication.rs
@@ -1,4 +1,4 @@
-//! Single steps of the replication that random schedules seldom meet.
+//! Single steps of the replication that random schedules rarely reach.
 
 use latchwheel_core::code::ResultCode;
 use latchwheel_core::replication::replacement::{first_members, next_members, GroupHealth};
@@ -99,7 +99,7 @@
         matches!(&sent.body, Some(Body::VoteAnswer(answer)) if answer.granted)
     };
     let persisted = HardState { term: 5, voted_for: 2 };
-    let vote = actions.iter().position(granted).expect("the vote is given");
+    let vote = actions.iter().position(granted).expect("the vote is granted");
     let before = actions[..vote].iter().any(|action| matches!(action, Action::Persist(hard, ..) if *hard == persisted));
     assert!(before, "{actions:?}");
 }
@@ -124,11 +124,11 @@
     let granted = actions.iter().any(|action| {
         matches!(action, Action::Send(sent) if matches!(&sent.body, Some(Body::VoteAnswer(answer)) if answer.granted))
     });
-    assert!(!granted, "term 2 goes before length");
+    assert!(!granted, "a higher last term outweighs a longer log");
 }
 
-/// The case of figure 8 of the Raft paper: an entry of an earlier term on a
-/// quorum may still be replaced; it is committed only by a later one.
+/// Figure 8 of the Raft paper: an entry of an earlier term on a quorum may still
+/// be replaced, and is committed only by an entry of the leader's own term.
 #[test]
 fn an_entry_of_an_earlier_term_is_not_committed_by_counting() {
     let hard = HardState { term: 3, voted_for: 0 };
@@ -136,7 +136,7 @@
     let (now, actions) = elect(&mut core, &[2]);
     persisted(&mut core, now, &actions);
     accepted(&mut core, now, 2, 2);
-    assert_eq!(core.commit_index(), 0, "entry 2 is of term 2, the leader of term 4");
+    assert_eq!(core.commit_index(), 0, "entry 2 has term 2, the leader has term 4");
     accepted(&mut core, now, 2, 3);
     assert_eq!(core.commit_index(), 3);
 }
@@ -146,7 +146,7 @@
     let mut core = start(restored(&["a", "b", "c"], HardState::default(), &[]), AckRule::Quorum);
     let (now, actions) = elect(&mut core, &[2]);
     accepted(&mut core, now, 2, 1);
-    assert_eq!(core.commit_index(), 0, "one copy of three is on a disk");
+    assert_eq!(core.commit_index(), 0, "only one of three copies is on stable storage");
     persisted(&mut core, now, &actions);
     assert_eq!(core.commit_index(), 1);
 }
@@ -168,10 +168,10 @@
     let (now, actions) = elect(&mut core, &[2, 3]);
     persisted(&mut core, now, &actions);
     let actions = accepted(&mut core, now, 2, 1);
-    assert_eq!((core.commit_index(), acknowledged(&actions)), (1, None), "replica 3 answered lately");
+    assert_eq!((core.commit_index(), acknowledged(&actions)), (1, None), "replica 3 is reachable");
     let later = now + Duration::from_millis(150);
     let actions = accepted(&mut core, later, 2, 1);
-    assert_eq!(acknowledged(&actions), Some(1), "replica 3 is silent now");
+    assert_eq!(acknowledged(&actions), Some(1), "replica 3 is no longer reachable");
 }
 
 #[test]
@@ -191,7 +191,7 @@
     let mut core = start(restored(&["a", "b", "c"], HardState::default(), &[]), AckRule::Quorum);
     let (now, actions) = elect(&mut core, &[2]);
     let actions_early = core.handle(now, Event::Read(1));
-    assert!(actions_early.contains(&Action::ReadRejected(1)), "nothing of the own term is committed yet");
+    assert!(actions_early.contains(&Action::ReadRejected(1)), "no entry of the own term is committed yet");
     persisted(&mut core, now, &actions);
     accepted(&mut core, now, 2, 1);
     let actions = core.handle(now, Event::Read(2));
@@ -203,7 +203,7 @@
         },
         _ => None,
     });
-    let answer = AppendAnswer { accepted: true, last_index: 1, round: round.expect("a heartbeat asks") };
+    let answer = AppendAnswer { accepted: true, last_index: 1, round: round.expect("a heartbeat is sent") };
     let term = core.term();
     let actions = core.handle(now, message(3, term, Body::AppendAnswer(answer)));
     assert!(actions.contains(&Action::ReadReady(2, 1)));
@@ -251,7 +251,7 @@
         steps.push((next.replicas.len(), voters));
         current = next;
     }
-    assert_eq!(steps, vec![(4, 3), (4, 4), (3, 3)], "learner, voter, then removal");
+    assert_eq!(steps, vec![(4, 3), (4, 4), (3, 3)], "added as learner, promoted, then the lost voter is removed");
     assert!(!current.replicas.iter().any(|replica| replica.replica == 3));
     present.clear();
 }
@@ -268,6 +268,6 @@
         wanted: 3,
         leader: 1,
     };
-    let next = next_members(health).expect("a learner of zone c");
+    let next = next_members(health).expect("a learner in zone c is added");
     assert!(next.replicas.iter().any(|replica| replica.replica == 9 && !replica.voter));
 }
