--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -79,7 +79,7 @@
 pub enum Action {
     /// Send a message to an address.
     Send(String, Datagram),
-    /// A member is new or has another status.
+    /// A member is new or its record changed.
     Changed(MemberRecord),
     /// A peer reported its table revision.
     PeerRevision(NodeId, u64),
@@ -108,7 +108,7 @@
     sequence: u64,
 }
 
-/// The members as one node sees them.
+/// Membership from the view of one node.
 #[derive(Debug)]
 pub struct Membership {
     settings: Settings,
--- a/crates/core/src/replication/log.rs
+++ b/crates/core/src/replication/log.rs
@@ -100,7 +100,7 @@
     }
 
     fn take_members(&mut self, entry: &Entry) {
-        // A payload that can't be read would have been refused when proposed.
+        // The leader encodes this payload, so decoding does not fail.
         if let Ok(members) = Members::decode(entry.payload.clone()) {
             self.members = members;
             self.members_index = entry.index;
