--- a/crates/core/src/ownership.rs
+++ b/crates/core/src/ownership.rs
@@ -76,13 +76,13 @@
 }
 
 /// The node that is home of a name (a row's limit, for instance) among nodes.
-pub fn home_of(name_hash: u64, nodes: impl Iterator<Item = NodeId>) -> Option<NodeId> {
+pub fn rendezvous_first(name_hash: u64, nodes: impl Iterator<Item = NodeId>) -> Option<NodeId> {
     nodes.max_by_key(|node| stable_pair_hash(node.0, name_hash))
 }
 
 /// Whether a node is among the first `count` that rendezvous hashing names
 /// for a name; `others` may contain the node itself.
-pub fn is_among_first(node: NodeId, name_hash: u64, others: impl Iterator<Item = NodeId>, count: usize) -> bool {
+pub fn is_in_rendezvous_top(node: NodeId, name_hash: u64, others: impl Iterator<Item = NodeId>, count: usize) -> bool {
     let own = stable_pair_hash(node.0, name_hash);
     others.filter(|other| stable_pair_hash(other.0, name_hash) > own).take(count).count() < count
 }
--- a/crates/core/src/permits/home.rs
+++ b/crates/core/src/permits/issuer.rs
@@ -9,10 +9,10 @@
 
 /// A node counts as heard for this time: every node tells the homes of itself each
 /// 150 ms, and datagrams may be lost.
-const HEARD_TIME: Duration = Duration::from_millis(450);
+const CONTACT_TIMEOUT: Duration = Duration::from_millis(450);
 /// A home that is not heard for this time is taken to be away. Longer than
-/// [`HEARD_TIME`]: one that is cut off grants no more by then.
-const HOME_SILENCE: Duration = Duration::from_millis(600);
+/// [`CONTACT_TIMEOUT`]: one that is cut off grants no more by then.
+const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(600);
 /// A process that did nothing for this time may have been replaced meanwhile.
 const LONGEST_PAUSE: Duration = Duration::from_millis(450);
 /// Permits are granted ahead only as long as this part of a bucket is left.
@@ -28,7 +28,7 @@
     /// Permits, for those that wait first.
     pub granted: u32,
     /// Time after which there is one for the first that got none.
-    pub come_back: Duration,
+    pub retry_after: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -41,7 +41,7 @@
 
 /// The buckets of the tenants whose home this node is.
 #[derive(Debug)]
-pub struct PermitHome {
+pub struct PermitIssuer {
     margin: LimitMargin,
     /// Since when it hears most nodes without a break.
     hears_most_since: Option<Instant>,
@@ -52,7 +52,7 @@
     pruned_at: Instant,
 }
 
-impl PermitHome {
+impl PermitIssuer {
     /// A home that starts `now`.
     pub fn new(now: Instant, margin: LimitMargin) -> Self {
         Self {
@@ -70,12 +70,12 @@
         self.heard.insert(node.0, now);
     }
 
-    /// Time passes; to be told several times in [`HEARD_TIME`]. `other_nodes` is the
+    /// Time passes; to be told several times in [`CONTACT_TIMEOUT`]. `other_nodes` is the
     /// number of the other nodes.
     pub fn tick(&mut self, now: Instant, other_nodes: usize) {
         let paused = now.since(self.ticked_at) > LONGEST_PAUSE;
         self.ticked_at = now;
-        let heard = self.heard.values().filter(|at| now.since(**at) < HEARD_TIME).count();
+        let heard = self.heard.values().filter(|at| now.since(**at) < CONTACT_TIMEOUT).count();
         if paused || heard * 2 < other_nodes {
             self.hears_most_since = None;
         } else {
@@ -87,8 +87,8 @@
     /// for the tenant; `None` if it is not.
     pub fn may_grant(&self, now: Instant, before: &[NodeId]) -> Option<Instant> {
         let since = self.hears_most_since.filter(|_| now.since(self.ticked_at) <= LONGEST_PAUSE)?;
-        match before.iter().filter_map(|home| self.heard.get(&home.0)).max() {
-            Some(at) if now.since(*at) < HOME_SILENCE => None,
+        match before.iter().filter_map(|coordinator| self.heard.get(&coordinator.0)).max() {
+            Some(at) if now.since(*at) < COORDINATOR_TIMEOUT => None,
             Some(at) => Some(since.max(*at)),
             None => Some(since),
         }
@@ -125,7 +125,7 @@
         let wait = (1.0 - bucket.level + bucket.promised).max(0.0) / rate;
         let longest = LONGEST_COME_BACK.as_secs_f64();
         bucket.promised = (bucket.promised + f64::from(urgent - for_urgent)).min(rate * longest);
-        Grant { granted: for_urgent + for_ahead, come_back: Duration::from_secs_f64(wait.min(longest)) }
+        Grant { granted: for_urgent + for_ahead, retry_after: Duration::from_secs_f64(wait.min(longest)) }
     }
 
     /// Forgets buckets that are full again, and nodes that are not heard any more.
--- a/crates/core/src/permits/mod.rs
+++ b/crates/core/src/permits/mod.rs
@@ -3,23 +3,23 @@
 //! A tenant's limit is one token bucket, kept by one node at a time: its *home*.
 //! Any node that has a request of the tenant asks the home for a permit, some
 //! ahead where many requests come. A permit is used by one request, within
-//! [`PERMIT_LIFE`]. Few nodes are homes; rendezvous hashing orders them for each
+//! [`PERMIT_TTL`]. Few nodes are homes; rendezvous hashing orders them for each
 //! tenant, so that nothing is agreed upon and each carries an even part.
 //!
 //! Invariants:
 //! - A home grants no more than its bucket holds.
 //! - A home grants only while it hears most nodes, and none of the homes that come
-//!   before it ([`PermitHome::may_grant`]): two homes of one tenant grant at once
+//!   before it ([`PermitIssuer::may_grant`]): two homes of one tenant grant at once
 //!   only where these two can't hear each other and each hears most nodes.
 //! - What may go wrong beyond that (a home that restarts knows nothing, a permit is
 //!   used up to its life later, a node that reaches no home uses a small part of its
 //!   own) is taken from the margin that the operator allows ([`LimitMargin`]).
 
-mod holder;
-mod home;
+mod client;
+mod issuer;
 
-pub use holder::{Answered, PermitAsk, PermitHolder, Waited};
-pub use home::{Grant, PermitHome};
+pub use client::{PermitCall, PermitClient, PermitOutcome, TenantOutcome};
+pub use issuer::{Grant, PermitIssuer};
 
 use crate::identity::{stable_pair_hash, NodeId};
 use crate::tenants::{RateLimit, TenantKey};
@@ -27,7 +27,7 @@
 
 /// Time in which a permit must be used, counted from the sending of the call that
 /// it was granted to. What is allowed in a window grows by the rate in this time.
-pub const PERMIT_LIFE: Duration = Duration::from_millis(300);
+pub const PERMIT_TTL: Duration = Duration::from_millis(300);
 
 /// By how much a limit may be exceeded in any window.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -61,7 +61,7 @@
 
     /// Permits that a bucket holds at most.
     fn capacity(&self, limit: &RateLimit) -> f64 {
-        let late = limit.per_second * PERMIT_LIFE.as_secs_f64();
+        let late = limit.per_second * PERMIT_TTL.as_secs_f64();
         (limit.burst + self.of(limit) * BUCKET_PART - late).max(1.0)
     }
 
@@ -73,16 +73,18 @@
 
 /// A node that may keep limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Home {
+pub struct Coordinator {
     /// The node.
     pub node: NodeId,
     /// Whether it does so only where no other can.
-    pub deputy: bool,
+    pub fallback: bool,
 }
 
 /// The homes of a tenant, the one that grants first.
-pub fn homes_of(tenant: TenantKey, homes: &[Home]) -> Vec<NodeId> {
-    let mut ordered = homes.to_vec();
-    ordered.sort_unstable_by_key(|home| (home.deputy, stable_pair_hash(home.node.0, tenant.0), home.node));
-    ordered.into_iter().map(|home| home.node).collect()
+pub fn coordinators_of(tenant: TenantKey, coordinators: &[Coordinator]) -> Vec<NodeId> {
+    let mut ordered = coordinators.to_vec();
+    ordered.sort_unstable_by_key(|coordinator| {
+        (coordinator.fallback, stable_pair_hash(coordinator.node.0, tenant.0), coordinator.node)
+    });
+    ordered.into_iter().map(|coordinator| coordinator.node).collect()
 }
--- a/crates/core/src/record_source.rs
+++ b/crates/core/src/record_source.rs
@@ -12,7 +12,7 @@
 //! Invariant: while the source is an upstream, the node's records are at most as old as [`AGE_LIMIT`]
 //! plus the time of two polls.
 
-use crate::retry::doubled_pause;
+use crate::retry::exponential_backoff;
 use crate::time::Instant;
 use std::time::Duration;
 
@@ -29,12 +29,12 @@
 /// listing under way, or lists to send to many nodes that started together. The store
 /// has no more room for the lists of all nodes than they: 50 calls a node where there
 /// are 10,000 servers.
-pub const DEFERRAL_PATIENCE: Duration = Duration::from_secs(20);
+pub const DEFERRAL_TIMEOUT: Duration = Duration::from_secs(20);
 /// Maximum backoff between two polls while starting.
 const MAX_START_BACKOFF: Duration = Duration::from_millis(640);
 /// Time for which upstreams that are behind the node itself, and sound otherwise, are
 /// waited for. One whose watch of the store lives hears of changes within half of it.
-pub const CATCH_UP_PATIENCE: Duration = Duration::from_millis(1000);
+pub const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Consecutive failures of upstreams after which a node follows the store.
 const FAILURES_BEFORE_STORE: u32 = 2;
 /// Backoff after a failed poll, doubled at each consecutive one.
@@ -69,36 +69,36 @@
 
 impl UpstreamState {
     /// Whether what it tells can be relied on.
-    pub fn is_sound(&self) -> bool {
-        self.complete && !self.behind && !self.store_is_away()
+    pub fn is_reliable(&self) -> bool {
+        self.complete && !self.behind && !self.store_is_unreachable()
     }
 
     /// Whether all that keeps it from being sound is that it has not heard yet of what
     /// the node knows.
     fn is_only_behind(&self) -> bool {
-        self.behind && self.complete && !self.store_is_away()
+        self.behind && self.complete && !self.store_is_unreachable()
     }
 
     /// Whether the store doesn't answer it.
-    pub fn store_is_away(&self) -> bool {
+    pub fn store_is_unreachable(&self) -> bool {
         self.age > AGE_LIMIT || self.outage > OUTAGE_LIMIT
     }
 }
 
 /// How an upstream is to treat a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum PollWait {
+pub enum PollCondition {
     /// Answer at once.
     Nothing,
     /// Answer when there is news.
-    News,
+    Change,
     /// Answer when it can be relied on.
-    Soundness,
+    Reliable,
 }
 
 /// The choice between the store and a number of upstreams.
 #[derive(Clone, Debug)]
-pub struct SourceChoice {
+pub struct SourceSelector {
     upstreams: usize,
     next_upstream: usize,
     source: RecordSource,
@@ -111,7 +111,7 @@
     behind_since: Option<Instant>,
 }
 
-impl SourceChoice {
+impl SourceSelector {
     /// Creates the selector of a node that starts `now`; `spread` distributes nodes over the
     /// upstreams. Without upstreams the store is the source.
     pub fn new(upstreams: usize, spread: u64, now: Instant) -> Self {
@@ -132,23 +132,23 @@
 
     /// What the next poll waits for. When no upstream is reliable, upstreams hold
     /// the polls until one is.
-    pub fn poll_wait(&self) -> PollWait {
+    pub fn poll_wait(&self) -> PollCondition {
         if self.behind_since.is_some() {
-            return PollWait::Soundness;
+            return PollCondition::Reliable;
         }
         match (self.source, self.failures) {
-            (RecordSource::Upstream, 0) => PollWait::News,
+            (RecordSource::Upstream, 0) => PollCondition::Change,
             // An upstream that is itself starting answers once it has its first lists.
-            (RecordSource::Undecided, failures) if failures > 0 => PollWait::Soundness,
-            (RecordSource::Store, failures) if failures as usize >= self.upstreams => PollWait::Soundness,
-            _ => PollWait::Nothing,
+            (RecordSource::Undecided, failures) if failures > 0 => PollCondition::Reliable,
+            (RecordSource::Store, failures) if failures as usize >= self.upstreams => PollCondition::Reliable,
+            _ => PollCondition::Nothing,
         }
     }
 
     /// Notes an upstream's answer. Returns the backoff before the next poll: zero
     /// after an upstream that holds polls until it is reliable.
     pub fn note_answer(&mut self, now: Instant, state: &UpstreamState) -> Duration {
-        if state.is_sound() {
+        if state.is_reliable() {
             self.source = RecordSource::Upstream;
             (self.failures, self.unanswered) = (0, 0);
             self.behind_since = None;
@@ -161,9 +161,9 @@
             self.next_upstream = (self.next_upstream + 1) % self.upstreams.max(1);
             self.failures = self.failures.saturating_add(1);
             let rounds = self.failures / self.upstreams.max(1) as u32;
-            return doubled_pause(START_BACKOFF, MAX_START_BACKOFF, rounds);
+            return exponential_backoff(START_BACKOFF, MAX_START_BACKOFF, rounds);
         }
-        let upstream_held_poll = self.poll_wait() == PollWait::Soundness && state.complete;
+        let upstream_held_poll = self.poll_wait() == PollCondition::Reliable && state.complete;
         if upstream_held_poll {
             self.unanswered = 0;
         }
@@ -179,13 +179,13 @@
     /// share the timeout.
     fn may_still_catch_up(&mut self, now: Instant) -> bool {
         let since = *self.behind_since.get_or_insert(now);
-        now.since(since) < CATCH_UP_PATIENCE
+        now.since(since) < CATCH_UP_TIMEOUT
     }
 
     /// Whether a starting node keeps polling upstreams after an answer with this state.
     fn should_keep_waiting(&self, state: &UpstreamState, now: Instant) -> bool {
-        let starting = self.source == RecordSource::Undecided && now.since(self.started) < DEFERRAL_PATIENCE;
-        starting && state.defers && !state.store_is_away()
+        let starting = self.source == RecordSource::Undecided && now.since(self.started) < DEFERRAL_TIMEOUT;
+        starting && state.defers && !state.store_is_unreachable()
     }
 
     /// Notes that an upstream did not answer. Returns the backoff before the next poll.
@@ -213,6 +213,6 @@
             return Duration::ZERO;
         }
         let rounds = self.unanswered.saturating_sub(self.upstreams as u32);
-        doubled_pause(INITIAL_BACKOFF, MAX_BACKOFF, rounds.saturating_sub(1))
+        exponential_backoff(INITIAL_BACKOFF, MAX_BACKOFF, rounds.saturating_sub(1))
     }
 }
--- a/crates/core/tests/dispatch.rs
+++ b/crates/core/tests/dispatch.rs
@@ -2,8 +2,8 @@
 
 use latchwheel_core::directory::ServerRecord;
 use latchwheel_core::dispatch::{
-    holders_of, Ask, Choice, Dispatcher, Ending, NodeShares, Placement, Prompt, PromptPart, ServerKey, ServerLoad,
-    ServerShare, REPORT_LIFE,
+    holders_of, Choice, Dispatcher, Ending, NodeShares, Placement, PlacementQuery, Prompt, PromptPart, ServerKey,
+    ServerLoad, ServerShare, REPORT_TTL,
 };
 use latchwheel_core::identity::NodeId;
 use latchwheel_core::time::Instant;
@@ -44,8 +44,8 @@
     NodeShares { servers, ..NodeShares::default() }
 }
 
-fn ask<'a>(prompt: &'a Prompt, spread: u64) -> Ask<'a> {
-    Ask {
+fn ask<'a>(prompt: &'a Prompt, spread: u64) -> PlacementQuery<'a> {
+    PlacementQuery {
         service: "s",
         prompt,
         avoid: &[],
@@ -91,12 +91,12 @@
 #[test]
 fn a_busy_home_is_left_for_an_emptier_server() {
     let mut dispatcher = dispatcher(&["a", "b"]);
-    let home = placed(dispatcher.choose(at(0), &ask(&prompt(1, 1), 0)));
+    let affinity = placed(dispatcher.choose(at(0), &ask(&prompt(1, 1), 0)));
     for _ in 0..40 {
-        dispatcher.note_sent(at(0), &home, &prompt(1, 1));
+        dispatcher.note_sent(at(0), &affinity, &prompt(1, 1));
     }
     let next = placed(dispatcher.choose(at(1), &ask(&prompt(1, 2), 0)));
-    assert_ne!(next.server, home.server);
+    assert_ne!(next.server, affinity.server);
 }
 
 #[test]
@@ -122,7 +122,7 @@
     let share = ServerShare { server: ServerKey::of("a"), requests: 4, ..ServerShare::default() };
     dispatcher.note_peer(at(0), NodeId(1), 1, told(vec![share]));
     assert_eq!(dispatcher.free_slots(at(1), "a", 0.0), Some(0.0));
-    assert_eq!(dispatcher.free_slots(at(0) + REPORT_LIFE, "a", 0.0), Some(4.0));
+    assert_eq!(dispatcher.free_slots(at(0) + REPORT_TTL, "a", 0.0), Some(4.0));
 }
 
 #[test]
@@ -145,7 +145,7 @@
             uncached: 0,
             load: 0.0,
             deferrable: false,
-            displaces: false,
+            preempts: false,
         };
         dispatcher.note_sent(at(0), &placement, &empty);
     }
@@ -153,7 +153,7 @@
         Choice::Full(time) => assert!(time > Duration::ZERO),
         other => panic!("{other:?}"),
     }
-    let none = Ask { service: "unknown", ..ask(&empty, 0) };
+    let none = PlacementQuery { service: "unknown", ..ask(&empty, 0) };
     assert_eq!(dispatcher.choose(at(0), &none), Choice::NoServer);
 }
 
@@ -161,7 +161,7 @@
 fn batch_work_leaves_a_reserve() {
     let mut dispatcher = dispatcher(&["a"]);
     let empty = Prompt::default();
-    let batch = Ask { wait_limit: Duration::ZERO, reserve: 0.5, ..ask(&empty, 0) };
+    let batch = PlacementQuery { wait_limit: Duration::ZERO, reserve: 0.5, ..ask(&empty, 0) };
     for _ in 0..2 {
         let placement = placed(dispatcher.choose(at(0), &batch));
         dispatcher.note_sent(at(0), &placement, &empty);
@@ -211,7 +211,7 @@
         uncached: 0,
         load: 0.0,
         deferrable: false,
-        displaces: false,
+        preempts: false,
     };
     for ending in [Ending::Broken, Ending::Answered, Ending::Broken, Ending::Answered] {
         dispatcher.note_sent(at(0), &placement, &empty);
@@ -251,7 +251,7 @@
         uncached: 0,
         load: 0.0,
         deferrable: false,
-        displaces: false,
+        preempts: false,
     };
     dispatcher.note_sent(at(1), &placement, &empty);
     // The other server is the busier one.
@@ -268,13 +268,13 @@
 fn a_refusal_presses_all_nodes_for_a_while() {
     let mut front = dispatcher(&["a"]);
     let mut worker = dispatcher(&["a"]);
-    assert!(!worker.is_pressed(at(0), "s"));
+    assert!(!worker.is_overloaded(at(0), "s"));
     front.note_refused(at(0), &"s".into());
     worker.note_peer(at(100), NodeId(1), 1, front.shares(at(100)));
-    assert!(worker.is_pressed(at(200), "s") && front.is_pressed(at(200), "s"));
-    assert!(!worker.is_pressed(at(200), "t"));
+    assert!(worker.is_overloaded(at(200), "s") && front.is_overloaded(at(200), "s"));
+    assert!(!worker.is_overloaded(at(200), "t"));
     worker.note_peer(at(1_100), NodeId(1), 2, front.shares(at(1_100)));
-    assert!(!worker.is_pressed(at(1_200), "s") && !front.is_pressed(at(1_200), "s"));
+    assert!(!worker.is_overloaded(at(1_200), "s") && !front.is_overloaded(at(1_200), "s"));
 }
 
 /// A sum over all nodes counts this one's own requests too; they count once,
@@ -293,7 +293,7 @@
     let sum = told(vec![share(4)]).into_parts(10).remove(0);
     dispatcher.note_sum(at(20), sum, &own);
     assert_eq!(dispatcher.free_slots(at(20), "a", 0.0), Some(0.0));
-    let late = at(20) + REPORT_LIFE;
+    let late = at(20) + REPORT_TTL;
     assert_eq!(dispatcher.free_slots(late, "a", 0.0), Some(3.0), "only the own request is left");
 }
 
@@ -301,11 +301,11 @@
 fn parts_of_a_sum_hold_every_server_once() {
     let servers =
         (0..150).map(|number| ServerShare { server: ServerKey(number * 977), requests: 1, ..ServerShare::default() });
-    let parts =
-        NodeShares { servers: servers.collect(), pressed: vec![5], waiting: 3, ..NodeShares::default() }.into_parts(60);
+    let parts = NodeShares { servers: servers.collect(), overloaded: vec![5], waiting: 3, ..NodeShares::default() }
+        .into_parts(60);
     assert_eq!(parts.len(), 3);
     assert_eq!(parts.iter().map(|part| part.shares.servers.len()).sum::<usize>(), 150);
-    assert!(parts.iter().all(|part| part.shares.pressed == [5] && part.shares.servers.len() < 75));
+    assert!(parts.iter().all(|part| part.shares.overloaded == [5] && part.shares.servers.len() < 75));
 }
 
 /// Many nodes that hear the same of all servers must not all choose the one
@@ -378,14 +378,14 @@
     let mut full = dispatcher(&["a", "b"]);
     full.note_peer(at(0), NodeId(1), 1, told(vec![share("a", 4, 4), share("b", 4, 0)]));
     let placement = placed(full.choose(at(1), &ask(&empty, 0)));
-    assert_eq!((&*placement.server, placement.displaces), ("a", true));
+    assert_eq!((&*placement.server, placement.preempts), ("a", true));
     assert_eq!(placement.expected_wait, Duration::ZERO);
-    let deferrable = Ask { wait_limit: Duration::ZERO, deferrable: true, ..ask(&empty, 0) };
+    let deferrable = PlacementQuery { wait_limit: Duration::ZERO, deferrable: true, ..ask(&empty, 0) };
     assert!(matches!(full.choose(at(1), &deferrable), Choice::Full(_)), "it doesn't make room for its like");
 
     let mut ample = dispatcher(&["a"]);
     ample.note_peer(at(0), NodeId(1), 1, told(vec![share("a", 1, 1)]));
-    assert!(!placed(ample.choose(at(1), &ask(&empty, 0))).displaces);
+    assert!(!placed(ample.choose(at(1), &ask(&empty, 0))).preempts);
 }
 
 /// Whoever wants room asks the same few nodes that run work there first.
--- a/crates/core/tests/many_servers.rs
+++ b/crates/core/tests/many_servers.rs
@@ -4,7 +4,7 @@
 
 use latchwheel_core::directory::ServerRecord;
 use latchwheel_core::dispatch::{
-    holders_of, is_holder, Advice, Dispatcher, KeeperAsk, Prompt, PromptPart, ServerKey, ServerShare,
+    holders_of, is_holder, Dispatcher, Prompt, PromptPart, ServerKey, ServerShare, TrackerQuery, TrackerReply,
 };
 use latchwheel_core::identity::{stable_hash, NodeId};
 use latchwheel_core::time::Instant;
@@ -50,7 +50,7 @@
         for _ in 0..100 {
             let number = random.random_range(0..40);
             if present.remove(&number).is_some() {
-                by_changes.set_left(&record(number).id);
+                by_changes.set_draining(&record(number).id);
             } else {
                 by_changes.set_one_ready(&record(number));
                 present.insert(number, record(number));
@@ -78,9 +78,9 @@
 /// prompts, each shared part belongs to one in two thousand.
 fn play(servers: usize) -> Played {
     let records: Vec<ServerRecord> = (0..servers).map(record).collect();
-    let mut keeper = Dispatcher::default();
-    keeper.set_ready(records.iter());
-    keeper.set_kept(KEEPER, &[KEEPER]);
+    let mut tracker = Dispatcher::default();
+    tracker.set_ready(records.iter());
+    tracker.set_tracked(KEEPER, &[KEEPER]);
     let mut random = SmallRng::seed_from_u64(servers as u64);
     let mut running: HashMap<ServerKey, u32> = HashMap::new();
     let mut ends: VecDeque<(u64, ServerKey)> = VecDeque::new();
@@ -92,7 +92,7 @@
             let (_, server) = ends.pop_front().unwrap();
             *running.get_mut(&server).unwrap() -= 1;
             sequence += 1;
-            tell(&mut keeper, now, sequence, server, running[&server]);
+            tell(&mut tracker, now, sequence, server, running[&server]);
         }
         due += if (now / 150) % 2 == 0 { peak * 0.383 / 1.87 } else { peak };
         while due >= 1.0 {
@@ -101,20 +101,20 @@
             let parts = vec![PromptPart { key: shared, tokens: 200 }, PromptPart { key: random.random(), tokens: 50 }];
             let prompt = Prompt { parts, output_tokens: 10 };
             played.asked += 1;
-            match keeper.advise(at(now), &free_slot(&prompt, random.random())) {
-                Advice::Send { server, wait, .. } => {
+            match tracker.reserve_server(at(now), &free_slot(&prompt, random.random())) {
+                TrackerReply::Send { server, wait, .. } => {
                     let running = running.entry(server).or_default();
                     *running += 1;
                     assert!(*running <= SLOTS, "a request was sent to a full server");
                     let requests = *running;
                     sequence += 1;
-                    tell(&mut keeper, now, sequence, server, requests);
+                    tell(&mut tracker, now, sequence, server, requests);
                     played.at_once += usize::from(wait.is_zero());
                     played.kept += usize::from(read.insert((server, shared), ()).is_some());
                     ends.push_back((now + 60, server));
                 }
-                Advice::Full(_) => played.refused += 1,
-                Advice::KeepsNone => panic!("it keeps all servers"),
+                TrackerReply::Full(_) => played.refused += 1,
+                TrackerReply::TracksNone => panic!("it keeps all servers"),
             }
         }
     }
@@ -122,13 +122,13 @@
 }
 
 /// The front tells what it has at a server; first pieces come within the millisecond.
-fn tell(keeper: &mut Dispatcher, now: u64, sequence: u64, server: ServerKey, requests: u32) {
+fn tell(tracker: &mut Dispatcher, now: u64, sequence: u64, server: ServerKey, requests: u32) {
     let share = ServerShare { server, requests, ..ServerShare::default() };
-    keeper.note_peer_changes(at(now), FRONT, sequence, vec![share]);
+    tracker.note_peer_changes(at(now), FRONT, sequence, vec![share]);
 }
 
-fn free_slot(prompt: &Prompt, spread: u64) -> KeeperAsk<'_> {
-    KeeperAsk {
+fn free_slot(prompt: &Prompt, spread: u64) -> TrackerQuery<'_> {
+    TrackerQuery {
         from: FRONT,
         service: stable_hash(SERVICE.as_bytes()),
         prompt,
@@ -136,7 +136,7 @@
         wait_limit: Duration::ZERO,
         deferrable: false,
         reserve: 0.0,
-        may_displace: false,
+        may_preempt: false,
         spread,
     }
 }
--- a/crates/core/tests/simulation/machine.rs
+++ b/crates/core/tests/simulation/machine.rs
@@ -5,7 +5,7 @@
 use super::world::{Destination, LeaseQuery, MachineNumber, Message, SimEvent, World};
 use latchwheel_core::identity::NodeId;
 use latchwheel_core::jobs::JobState;
-use latchwheel_core::leasing::{Asker, Leasing};
+use latchwheel_core::leasing::{LeaseRequester, Leasing};
 use latchwheel_core::replication::{Action, Event, HardState, LogBase, Replication, Restored, Settings};
 use latchwheel_core::time::Instant;
 use latchwheel_protocol::v1::command::Body;
@@ -231,9 +231,9 @@
                 Message::Leased { request, term: own_term, items: vec![], ended: vec![], leader, accepted: false };
             return self.send(Some(number), Destination::Machine(holder), answer);
         }
-        leasing.take_back(now, node_of(holder), &unanswered, &running.state);
+        leasing.reclaim(now, node_of(holder), &unanswered, &running.state);
         let ended = leasing.renew(now, node_of(holder), &held, &running.state);
-        let asker = Asker { node: node_of(holder), request };
+        let asker = LeaseRequester { node: node_of(holder), request };
         let mut items = Vec::new();
         let mut starts = Vec::new();
         for grant in leasing.grant(now, asker, "row", free_slots, &running.state) {
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -1,7 +1,7 @@
 //! The way of a request: attempts at servers until there is an answer.
 
 use crate::accept::accept;
-use crate::answer::{error_answer, COME_BACK};
+use crate::answer::{error_answer, DEFAULT_RETRY_AFTER};
 use crate::dialect::Dialect;
 use crate::exchange::{Exchange, Outgoing};
 use crate::resumable::{stream_body, Streaming};
@@ -166,7 +166,7 @@
     /// Time to wait for the head of an answer: to the end where the request
     /// can't be repeated anyway, with so many other attempts in progress.
     pub(crate) fn patience(&self, left: Duration, others: u32) -> Duration {
-        if !self.attempts.may_repeat_beside(others) {
+        if !self.attempts.may_repeat_with_others(others) {
             return left;
         }
         (self.route.latency_target * PATIENCE_TARGETS).max(LEAST_PATIENCE).min(left)
@@ -204,14 +204,14 @@
 
     /// Gives the request up with the code, or with one that says that it may
     /// have run.
-    pub(crate) fn refuse(&self, not_run: ResultCode, come_back: Option<Duration>) -> Response<Body> {
+    pub(crate) fn refuse(&self, not_run: ResultCode, retry_after: Option<Duration>) -> Response<Body> {
         if let Some(tenant) = self.tenant.as_ref().filter(|_| self.asked.is_empty()) {
             self.shared.permits.give_back(tenant);
         }
-        let code = self.attempts.verdict(not_run);
-        let come_back_time = come_back.unwrap_or(COME_BACK);
+        let code = self.attempts.result_code(not_run);
+        let come_back_time = retry_after.unwrap_or(DEFAULT_RETRY_AFTER);
         log_refusal(&self.shared, &self.id, &self.route.name, code, self.received, come_back_time);
-        error_answer(code, come_back)
+        error_answer(code, retry_after)
     }
 
     pub(crate) fn log_sent(&self, placement: &Placement, left: Duration, attempt: u32) {
@@ -223,7 +223,7 @@
             expected_wait_ms: placement.expected_wait.as_millis() as u64,
             uncached_tokens: placement.uncached,
             load: placement.load,
-            displaces: placement.displaces,
+            displaces: placement.preempts,
             table_version: self.table_version,
             left_ms: left.as_millis() as u64,
         };
@@ -244,7 +244,7 @@
     route: &str,
     code: ResultCode,
     received: Instant,
-    come_back: Duration,
+    retry_after: Duration,
 ) {
     let event = Event::RequestRefused {
         id,
@@ -252,7 +252,7 @@
         code: code.number(),
         status: code.http_status(),
         after_ms: shared.clock.now().since(received).as_millis() as u64,
-        come_back_ms: come_back.as_millis() as u64,
+        come_back_ms: retry_after.as_millis() as u64,
         table_version: shared.table().version,
     };
     emit(id, &event);
--- a/crates/proxy/tests/peers.rs
+++ b/crates/proxy/tests/peers.rs
@@ -1,7 +1,7 @@
 //! Nodes that tell each other of their requests by datagrams.
 
-use latchwheel_core::dispatch::{Ask, Choice, Placement, Prompt, ServerKey};
-use latchwheel_core::room::{MachineCapacity, RoomsTold};
+use latchwheel_core::dispatch::{Choice, Placement, PlacementQuery, Prompt, ServerKey};
+use latchwheel_core::headroom::{MachineCapacity, PeerHeadroomCounts};
 use latchwheel_core::routes::RequestKind;
 use latchwheel_proxy::{exchange_shares, Exchange, Outgoing, Peer, PeerDuties, Peers, Shared};
 use std::sync::Arc;
@@ -38,7 +38,7 @@
         let shared = node(route(RequestKind::Idempotent, 2), &[server]);
         let others = Peers::default();
         peers.copy_to(&others, name);
-        let duties = PeerDuties { says_hello: false, aggregates: number < aggregators, sum_bytes_per_second: 1e6 };
+        let duties = PeerDuties { sends_heartbeat: false, aggregates: number < aggregators, sum_bytes_per_second: 1e6 };
         let (telling, name) = (shared.clone(), (*name).to_owned());
         let task = tokio::spawn(async move { exchange_shares(telling, socket, &name, duties, others).await });
         nodes.push(Node { shared, task });
@@ -49,7 +49,7 @@
 /// The node sends so many requests to the server.
 fn send(node: &Node, server: &TestServer, count: usize) {
     let prompt = Prompt::default();
-    let ask = Ask {
+    let ask = PlacementQuery {
         service: &server.record().service,
         prompt: &prompt,
         avoid: &[],
@@ -116,7 +116,7 @@
     let nodes = start(&server, &["worker", "front"], 0, 0).await;
     let mut wanted = nodes[0].shared.take_room_wanted().unwrap();
     let prompt = Prompt::default();
-    let ask = Ask {
+    let ask = PlacementQuery {
         service: &server.record().service,
         prompt: &prompt,
         avoid: &[],
@@ -136,7 +136,7 @@
         prompt: Prompt::default(),
     };
     let calm = Exchange::reserve(&nodes[1].shared, placement.clone(), &outgoing);
-    let pressing = Exchange::reserve(&nodes[1].shared, Placement { displaces: true, ..placement }, &outgoing);
+    let pressing = Exchange::reserve(&nodes[1].shared, Placement { preempts: true, ..placement }, &outgoing);
     let key = tokio::time::timeout(Duration::from_secs(20), wanted.recv()).await.unwrap();
     assert_eq!(key, Some(ServerKey::of(&server.record().id)));
     assert!(wanted.try_recv().is_err(), "only one of the two asks");
@@ -157,11 +157,11 @@
         nodes[2].shared.machine_room.set_capacity(full);
         nodes[3].shared.machine_room.set_capacity(full);
         let others = |node: &Node| node.shared.machine_room.others(node.shared.clock.now());
-        until(|| others(&nodes[0]) == RoomsTold { nodes: 3, busy: 2 }, "a node that tells nothing").await;
-        until(|| others(&nodes[1]) == RoomsTold { nodes: 2, busy: 2 }, "a node with room").await;
-        until(|| others(&nodes[2]) == RoomsTold { nodes: 2, busy: 1 }, "a busy node").await;
-        until(|| others(&nodes[4]) == RoomsTold { nodes: 3, busy: 2 }, "another node").await;
+        until(|| others(&nodes[0]) == PeerHeadroomCounts { nodes: 3, busy: 2 }, "a node that tells nothing").await;
+        until(|| others(&nodes[1]) == PeerHeadroomCounts { nodes: 2, busy: 2 }, "a node with room").await;
+        until(|| others(&nodes[2]) == PeerHeadroomCounts { nodes: 2, busy: 1 }, "a busy node").await;
+        until(|| others(&nodes[4]) == PeerHeadroomCounts { nodes: 3, busy: 2 }, "another node").await;
         nodes[2].task.abort();
-        until(|| others(&nodes[4]) == RoomsTold { nodes: 2, busy: 1 }, "a dead node is none").await;
+        until(|| others(&nodes[4]) == PeerHeadroomCounts { nodes: 2, busy: 1 }, "a dead node is none").await;
     }
 }
