--- a/crates/core/src/record_source.rs
+++ b/crates/core/src/record_source.rs
@@ -132,7 +132,7 @@
 
     /// What the next poll waits for. When no upstream is reliable, upstreams hold
     /// the polls until one is.
-    pub fn poll_wait(&self) -> PollCondition {
+    pub fn poll_condition(&self) -> PollCondition {
         if self.behind_since.is_some() {
             return PollCondition::Reliable;
         }
@@ -163,7 +163,7 @@
             let rounds = self.failures / self.upstreams.max(1) as u32;
             return exponential_backoff(START_BACKOFF, MAX_START_BACKOFF, rounds);
         }
-        let upstream_held_poll = self.poll_wait() == PollCondition::Reliable && state.complete;
+        let upstream_held_poll = self.poll_condition() == PollCondition::Reliable && state.complete;
         if upstream_held_poll {
             self.unanswered = 0;
         }
--- a/crates/core/tests/record_source.rs
+++ b/crates/core/tests/record_source.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 const START: Instant = Instant::from_micros(60_000_000);
-const SOUND: UpstreamState =
+const RELIABLE: UpstreamState =
     UpstreamState { age: Duration::ZERO, outage: Duration::ZERO, complete: true, defers: false, behind: false };
 
 fn later(milliseconds: u64) -> Instant {
@@ -18,128 +18,128 @@
 
 #[test]
 fn without_upstreams_the_store_is_the_source() {
-    let choice = SourceSelector::new(0, 7, START);
-    assert_eq!(choice.source(), RecordSource::Store);
-    assert_eq!(choice.upstream(), None);
+    let selector = SourceSelector::new(0, 7, START);
+    assert_eq!(selector.source(), RecordSource::Store);
+    assert_eq!(selector.upstream(), None);
 }
 
 #[test]
-fn a_node_that_starts_waits_a_moment_for_an_upstream_that_starts_too() {
-    let mut choice = SourceSelector::new(3, 1, START);
-    choice.note_failure(later(10));
-    assert_eq!(choice.source(), RecordSource::Undecided);
-    choice.note_answer(later(200), &SOUND);
-    assert_eq!(choice.source(), RecordSource::Upstream);
+fn a_starting_node_waits_briefly_for_an_upstream() {
+    let mut selector = SourceSelector::new(3, 1, START);
+    selector.note_failure(later(10));
+    assert_eq!(selector.source(), RecordSource::Undecided);
+    selector.note_answer(later(200), &RELIABLE);
+    assert_eq!(selector.source(), RecordSource::Upstream);
     let mut alone = SourceSelector::new(3, 1, START);
     alone.note_failure(later(1_500));
     assert_eq!(alone.source(), RecordSource::Store);
 }
 
 #[test]
-fn an_upstream_that_is_behind_is_left_at_once_for_the_next_and_then_for_the_store() {
-    let unsound = [
-        UpstreamState { age: AGE_LIMIT + Duration::from_millis(1), ..SOUND },
-        UpstreamState { outage: OUTAGE_LIMIT + Duration::from_millis(1), ..SOUND },
-        UpstreamState { complete: false, ..SOUND },
+fn an_unreliable_upstream_is_replaced_by_the_next_and_then_by_the_store() {
+    let unreliable = [
+        UpstreamState { age: AGE_LIMIT + Duration::from_millis(1), ..RELIABLE },
+        UpstreamState { outage: OUTAGE_LIMIT + Duration::from_millis(1), ..RELIABLE },
+        UpstreamState { complete: false, ..RELIABLE },
     ];
-    for state in unsound {
-        let mut choice = SourceSelector::new(2, 0, START);
-        choice.note_answer(later(100), &SOUND);
-        assert_eq!(choice.poll_wait(), PollCondition::Change);
-        assert_eq!(choice.note_answer(later(5_000), &state), Duration::ZERO);
-        assert_eq!(choice.source(), RecordSource::Upstream, "the other one is asked first");
-        assert_eq!((choice.upstream(), choice.poll_wait()), (Some(1), PollCondition::Nothing));
-        choice.note_answer(later(5_010), &state);
-        assert_eq!(choice.source(), RecordSource::Store, "{state:?}");
-        assert_eq!((choice.upstream(), choice.poll_wait()), (Some(0), PollCondition::Reliable));
-        let pause = choice.note_answer(later(5_610), &state);
-        assert_eq!(pause.is_zero(), state.complete, "an upstream that holds polls is asked again at once");
-        choice.note_answer(later(6_000), &SOUND);
-        assert_eq!(choice.source(), RecordSource::Upstream);
+    for state in unreliable {
+        let mut selector = SourceSelector::new(2, 0, START);
+        selector.note_answer(later(100), &RELIABLE);
+        assert_eq!(selector.poll_condition(), PollCondition::Change);
+        assert_eq!(selector.note_answer(later(5_000), &state), Duration::ZERO);
+        assert_eq!(selector.source(), RecordSource::Upstream, "the other one is asked first");
+        assert_eq!((selector.upstream(), selector.poll_condition()), (Some(1), PollCondition::Nothing));
+        selector.note_answer(later(5_010), &state);
+        assert_eq!(selector.source(), RecordSource::Store, "{state:?}");
+        assert_eq!((selector.upstream(), selector.poll_condition()), (Some(0), PollCondition::Reliable));
+        let backoff = selector.note_answer(later(5_610), &state);
+        assert_eq!(backoff.is_zero(), state.complete, "an upstream that holds polls is asked again at once");
+        selector.note_answer(later(6_000), &RELIABLE);
+        assert_eq!(selector.source(), RecordSource::Upstream);
     }
 }
 
 #[test]
-fn the_only_upstream_is_left_for_the_store_at_once() {
-    let mut choice = SourceSelector::new(1, 0, START);
-    choice.note_answer(later(100), &SOUND);
-    choice.note_failure(later(1_100));
-    assert_eq!(choice.source(), RecordSource::Store);
+fn a_single_failed_upstream_is_replaced_by_the_store_at_once() {
+    let mut selector = SourceSelector::new(1, 0, START);
+    selector.note_answer(later(100), &RELIABLE);
+    selector.note_failure(later(1_100));
+    assert_eq!(selector.source(), RecordSource::Store);
 }
 
 /// An upstream that knows less than the node is waited for, then left for the next one,
 /// and that one for the store if it is behind as well.
 #[test]
-fn an_upstream_that_knows_less_is_waited_for_a_moment() {
-    let behind = UpstreamState { behind: true, ..SOUND };
-    let mut choice = SourceSelector::new(3, 0, START);
-    choice.note_answer(later(100), &SOUND);
-    assert_eq!(choice.note_answer(later(5_000), &behind), Duration::ZERO);
-    assert_eq!((choice.upstream(), choice.poll_wait()), (Some(0), PollCondition::Reliable));
-    assert_eq!(choice.source(), RecordSource::Upstream);
-    let patience_ends = later(5_000) + CATCH_UP_TIMEOUT;
-    choice.note_answer(patience_ends, &behind);
-    assert_eq!((choice.upstream(), choice.source()), (Some(1), RecordSource::Upstream));
-    choice.note_answer(patience_ends + Duration::from_millis(10), &behind);
-    assert_eq!(choice.source(), RecordSource::Store);
-    choice.note_answer(later(9_000), &SOUND);
-    assert_eq!((choice.source(), choice.poll_wait()), (RecordSource::Upstream, PollCondition::Change));
+fn an_upstream_that_is_behind_gets_time_to_catch_up() {
+    let behind = UpstreamState { behind: true, ..RELIABLE };
+    let mut selector = SourceSelector::new(3, 0, START);
+    selector.note_answer(later(100), &RELIABLE);
+    assert_eq!(selector.note_answer(later(5_000), &behind), Duration::ZERO);
+    assert_eq!((selector.upstream(), selector.poll_condition()), (Some(0), PollCondition::Reliable));
+    assert_eq!(selector.source(), RecordSource::Upstream);
+    let timeout_end = later(5_000) + CATCH_UP_TIMEOUT;
+    selector.note_answer(timeout_end, &behind);
+    assert_eq!((selector.upstream(), selector.source()), (Some(1), RecordSource::Upstream));
+    selector.note_answer(timeout_end + Duration::from_millis(10), &behind);
+    assert_eq!(selector.source(), RecordSource::Store);
+    selector.note_answer(later(9_000), &RELIABLE);
+    assert_eq!((selector.source(), selector.poll_condition()), (RecordSource::Upstream, PollCondition::Change));
 }
 
 /// A node that watches the store itself goes on with that, however long its upstreams
 /// are behind.
 #[test]
-fn an_upstream_that_knows_less_is_no_source() {
-    let behind = UpstreamState { behind: true, ..SOUND };
-    let mut choice = SourceSelector::new(2, 0, START);
-    choice.note_failure(later(1_500));
+fn an_upstream_that_is_behind_does_not_replace_the_store() {
+    let behind = UpstreamState { behind: true, ..RELIABLE };
+    let mut selector = SourceSelector::new(2, 0, START);
+    selector.note_failure(later(1_500));
     for poll in 0..40 {
-        choice.note_answer(later(2_000 + 100 * poll), &behind);
-        assert_eq!(choice.source(), RecordSource::Store);
+        selector.note_answer(later(2_000 + 100 * poll), &behind);
+        assert_eq!(selector.source(), RecordSource::Store);
     }
 }
 
 #[test]
-fn upstreams_that_are_silent_are_asked_more_and_more_seldom() {
-    let mut choice = SourceSelector::new(3, 0, START);
-    choice.note_answer(later(100), &SOUND);
-    let pauses: Vec<u128> = (0..6).map(|_| choice.note_failure(later(9_000)).as_millis()).collect();
-    assert_eq!(pauses, [0, 0, 0, 250, 500, 1_000]);
+fn unresponsive_upstreams_are_polled_with_growing_backoff() {
+    let mut selector = SourceSelector::new(3, 0, START);
+    selector.note_answer(later(100), &RELIABLE);
+    let backoffs: Vec<u128> = (0..6).map(|_| selector.note_failure(later(9_000)).as_millis()).collect();
+    assert_eq!(backoffs, [0, 0, 0, 250, 500, 1_000]);
 }
 
 /// Upstreams that have lists to send to many nodes are waited for; the store, which
 /// would have to list all to each, is not asked before their time is over.
 #[test]
-fn a_node_that_starts_waits_for_upstreams_that_defer() {
-    let defers = UpstreamState { complete: false, defers: true, ..SOUND };
-    let mut choice = SourceSelector::new(3, 0, START);
+fn a_starting_node_waits_for_upstreams_that_defer() {
+    let defers = UpstreamState { complete: false, defers: true, ..RELIABLE };
+    let mut selector = SourceSelector::new(3, 0, START);
     let mut now = later(10);
     let mut polls = 0;
     while now < START + DEFERRAL_TIMEOUT {
-        let pause = choice.note_answer(now, &defers);
-        assert_eq!(choice.source(), RecordSource::Undecided, "at {now:?}");
-        assert!(!pause.is_zero(), "it must not be asked without a pause");
-        now = now + pause;
+        let backoff = selector.note_answer(now, &defers);
+        assert_eq!(selector.source(), RecordSource::Undecided, "at {now:?}");
+        assert!(!backoff.is_zero(), "it must not be asked without a pause");
+        now = now + backoff;
         polls += 1;
     }
     assert!((30..=60).contains(&polls), "{polls} polls");
-    choice.note_answer(now, &defers);
-    assert_eq!(choice.source(), RecordSource::Store);
-    choice.note_answer(now, &SOUND);
-    assert_eq!(choice.source(), RecordSource::Upstream);
+    selector.note_answer(now, &defers);
+    assert_eq!(selector.source(), RecordSource::Store);
+    selector.note_answer(now, &RELIABLE);
+    assert_eq!(selector.source(), RecordSource::Upstream);
 }
 
 /// A deferral is no reason to believe an upstream that the store does not answer, nor
 /// to rest on one that a node has followed so far.
 #[test]
 fn a_deferral_does_not_hide_an_outage() {
-    let away = UpstreamState { age: AGE_LIMIT * 2, complete: false, defers: true, ..SOUND };
-    let mut choice = SourceSelector::new(3, 0, START);
-    choice.note_answer(later(1_100), &away);
-    assert_eq!(choice.source(), RecordSource::Store);
+    let unreachable = UpstreamState { age: AGE_LIMIT * 2, complete: false, defers: true, ..RELIABLE };
+    let mut selector = SourceSelector::new(3, 0, START);
+    selector.note_answer(later(1_100), &unreachable);
+    assert_eq!(selector.source(), RecordSource::Store);
     let mut following = SourceSelector::new(3, 0, START);
-    following.note_answer(later(10), &SOUND);
-    let defers = UpstreamState { complete: false, defers: true, ..SOUND };
+    following.note_answer(later(10), &RELIABLE);
+    let defers = UpstreamState { complete: false, defers: true, ..RELIABLE };
     following.note_answer(later(1_000), &defers);
     following.note_answer(later(1_010), &defers);
     assert_eq!(following.source(), RecordSource::Store);
@@ -150,12 +150,12 @@
     /// start is over, and never follows upstreams of which two in a row were not
     /// sound.
     #[test]
-    fn there_is_always_a_sound_source(
+    fn a_node_always_has_a_reliable_source(
         outcomes in prop::collection::vec((any::<bool>(), 0_u64..3_000, 0_u64..1_000, any::<bool>()), 1..60),
     ) {
-        let mut choice = SourceSelector::new(3, 5, START);
+        let mut selector = SourceSelector::new(3, 5, START);
         let mut now = later(2_000);
-        let mut unsound_in_a_row = u32::MAX;
+        let mut consecutive_unreliable = u32::MAX;
         for (answers, age, outage, complete) in outcomes {
             let state = UpstreamState {
                 age: Duration::from_millis(age),
@@ -164,13 +164,13 @@
                 defers: false,
                 behind: false,
             };
-            let pause = if answers { choice.note_answer(now, &state) } else { choice.note_failure(now) };
-            let sound = answers && state.is_reliable();
-            unsound_in_a_row = if sound { 0 } else { unsound_in_a_row.saturating_add(1) };
-            prop_assert_eq!(choice.source() == RecordSource::Upstream, unsound_in_a_row < 2);
-            prop_assert!(choice.source() != RecordSource::Undecided);
-            prop_assert!(choice.upstream().is_some_and(|number| number < 3));
-            now = now + pause;
+            let backoff = if answers { selector.note_answer(now, &state) } else { selector.note_failure(now) };
+            let reliable = answers && state.is_reliable();
+            consecutive_unreliable = if reliable { 0 } else { consecutive_unreliable.saturating_add(1) };
+            prop_assert_eq!(selector.source() == RecordSource::Upstream, consecutive_unreliable < 2);
+            prop_assert!(selector.source() != RecordSource::Undecided);
+            prop_assert!(selector.upstream().is_some_and(|number| number < 3));
+            now = now + backoff;
         }
     }
 }
--- a/crates/core/tests/simulation/holder.rs
+++ b/crates/core/tests/simulation/holder.rs
@@ -42,7 +42,7 @@
     pub lease_request: Option<(u64, Instant)>,
     pub complete_request: Option<SubmittedResults>,
     pub requests: u64,
-    pub unanswered: AbandonedRequests,
+    pub abandoned: AbandonedRequests,
 }
 
 impl Holder {
@@ -133,7 +133,7 @@
         match holder.lease_request {
             Some((_, sent)) if now.since(sent) < REQUEST_TIMEOUT => return,
             Some((request, _)) => {
-                holder.unanswered.note(now, &[request]);
+                holder.abandoned.note(now, &[request]);
                 holder.leader = None;
             }
             None => {}
@@ -146,7 +146,7 @@
             free_slots: (2 * ENGINE_SLOTS).saturating_sub(waiting),
             held: holder.chunks(holder.send_positions),
             term: holder.term,
-            unanswered: holder.unanswered.to_report(now),
+            abandoned: holder.abandoned.to_report(now),
         };
         let message = Message::Lease { holder: number, query };
         self.send(Some(number), Destination::Machine(leader), message);
--- a/crates/core/tests/simulation/machine.rs
+++ b/crates/core/tests/simulation/machine.rs
@@ -216,7 +216,7 @@
     }
 
     fn serve_lease(&mut self, number: MachineNumber, holder: MachineNumber, query: LeaseQuery) {
-        let LeaseQuery { request, free_slots, held, term, unanswered } = query;
+        let LeaseQuery { request, free_slots, held, term, abandoned } = query;
         let now = self.now;
         let leader = self.leader_seen_by(number);
         let Some(running) = self.machines[number].running.as_mut() else { return };
@@ -231,12 +231,12 @@
                 Message::Leased { request, term: own_term, items: vec![], ended: vec![], leader, accepted: false };
             return self.send(Some(number), Destination::Machine(holder), answer);
         }
-        leasing.reclaim(now, node_of(holder), &unanswered, &running.state);
+        leasing.reclaim(now, node_of(holder), &abandoned, &running.state);
         let ended = leasing.renew(now, node_of(holder), &held, &running.state);
-        let asker = LeaseRequester { node: node_of(holder), request };
+        let requester = LeaseRequester { node: node_of(holder), request };
         let mut items = Vec::new();
         let mut starts = Vec::new();
-        for grant in leasing.grant(now, asker, "row", free_slots, &running.state) {
+        for grant in leasing.grant(now, requester, "row", free_slots, &running.state) {
             let Some(job) = running.state.job(&grant.job) else { continue };
             if !job.record.repeatable {
                 let start = StartItems {
--- a/crates/core/tests/simulation/world.rs
+++ b/crates/core/tests/simulation/world.rs
@@ -23,7 +23,7 @@
     pub free_slots: usize,
     pub held: Vec<HeldChunk>,
     pub term: u64,
-    pub unanswered: Vec<u64>,
+    pub abandoned: Vec<u64>,
 }
 
 /// A message between machines and clients.
--- a/crates/core/tests/store_outage.rs
+++ b/crates/core/tests/store_outage.rs
@@ -13,17 +13,17 @@
 const CALLS_PER_SECOND: f64 = 32.0;
 const STEP: Duration = Duration::from_millis(10);
 /// Time that an upstream holds a poll.
-const HOLD: Duration = Duration::from_millis(600);
+const MAX_POLL_HOLD: Duration = Duration::from_millis(600);
 /// Time between two calls of an upstream that is answered.
 const RENEWAL: Duration = Duration::from_millis(400);
 /// Time between two calls that a node wants to make while it follows the store.
-const WANTS_EVERY: Duration = Duration::from_millis(400);
+const CALL_INTERVAL: Duration = Duration::from_millis(400);
 const OUTAGE_START: Instant = Instant::from_micros(70_000_000);
 const START: Instant = Instant::from_micros(60_000_000);
 
 /// What goes wrong in a schedule.
 #[derive(Clone, Copy, Debug)]
-struct Trouble {
+struct Faults {
     outage: Duration,
     /// Upstreams that the store doesn't answer for as long as the schedule runs.
     cut_upstreams: usize,
@@ -38,7 +38,7 @@
 struct Upstream {
     breaker: CircuitBreaker,
     cut: bool,
-    answered: Instant,
+    last_answer: Instant,
     failing_since: Option<Instant>,
     next_call: Instant,
 }
@@ -46,7 +46,7 @@
 impl Upstream {
     fn state(&self, now: Instant) -> UpstreamState {
         let outage = self.failing_since.map(|since| now.since(since)).unwrap_or_default();
-        UpstreamState { age: now.since(self.answered), outage, complete: true, defers: false, behind: false }
+        UpstreamState { age: now.since(self.last_answer), outage, complete: true, defers: false, behind: false }
     }
 
     fn step(&mut self, now: Instant, store_up: bool, draw: f64) -> usize {
@@ -56,7 +56,7 @@
         self.next_call = now + if self.breaker.is_open() { Duration::ZERO } else { RENEWAL };
         if store_up && !self.cut {
             self.breaker.note_answer();
-            (self.answered, self.failing_since) = (now, None);
+            (self.last_answer, self.failing_since) = (now, None);
             self.next_call = now + RENEWAL;
         } else {
             self.breaker.note_failure(now, now, draw);
@@ -68,72 +68,72 @@
 }
 
 struct Node {
-    choice: SourceSelector,
+    selector: SourceSelector,
     breaker: CircuitBreaker,
     /// When the poll on its way was sent, or when the next one is.
     poll_at: Instant,
     next_call: Instant,
     /// As of when what it believes is known to be true.
-    knows: Instant,
+    current_as_of: Instant,
 }
 
 impl Node {
     fn new(number: usize) -> Self {
         let policy = ProbePolicy { calls_per_second: CALLS_PER_SECOND, nodes: NODES, relied_on: false };
         Self {
-            choice: SourceSelector::new(UPSTREAMS, number as u64, START),
+            selector: SourceSelector::new(UPSTREAMS, number as u64, START),
             breaker: CircuitBreaker::new(policy),
             poll_at: START,
             next_call: START,
-            knows: START,
+            current_as_of: START,
         }
     }
 
     /// Ends the poll on its way once its upstream answers it.
-    fn poll(&mut self, now: Instant, upstreams: &[Upstream], trouble: &Trouble, random: &mut StdRng) {
-        let Some(number) = self.choice.upstream().filter(|_| now >= self.poll_at) else { return };
+    fn poll(&mut self, now: Instant, upstreams: &[Upstream], faults: &Faults, random: &mut StdRng) {
+        let Some(number) = self.selector.upstream().filter(|_| now >= self.poll_at) else { return };
         let state = upstreams[number].state(now);
-        let waits = match self.choice.poll_wait() {
+        let upstream_holds = match self.selector.poll_condition() {
             PollCondition::Nothing => false,
-            PollCondition::Change => now.since(self.poll_at) < HOLD,
-            PollCondition::Reliable => !state.is_reliable() && now.since(self.poll_at) < HOLD,
+            PollCondition::Change => now.since(self.poll_at) < MAX_POLL_HOLD,
+            PollCondition::Reliable => !state.is_reliable() && now.since(self.poll_at) < MAX_POLL_HOLD,
         };
-        if waits {
+        if upstream_holds {
             return;
         }
-        let dead = number >= UPSTREAMS - trouble.dead_upstreams;
-        let pause = if dead || random.random::<f64>() < trouble.lost_polls {
-            self.choice.note_failure(now)
+        let dead = number >= UPSTREAMS - faults.dead_upstreams;
+        let backoff = if dead || random.random::<f64>() < faults.lost_polls {
+            self.selector.note_failure(now)
         } else {
-            let pause = self.choice.note_answer(now, &state);
-            self.hear(now, &state, trouble, random.random());
-            pause
+            let backoff = self.selector.note_answer(now, &state);
+            self.process_report(now, &state, faults, random.random());
+            backoff
         };
-        self.poll_at = now + pause.max(STEP);
+        self.poll_at = now + backoff.max(STEP);
     }
 
-    fn hear(&mut self, now: Instant, state: &UpstreamState, trouble: &Trouble, draw: f64) {
+    fn process_report(&mut self, now: Instant, state: &UpstreamState, faults: &Faults, draw: f64) {
         if state.is_reliable() {
-            self.knows = self.knows.max(now - state.age);
+            self.current_as_of = self.current_as_of.max(now - state.age);
             self.breaker.note_upstream_answering(now);
-        } else if self.choice.source() == RecordSource::Store && !trouble.ignores_upstreams {
+        } else if self.selector.source() == RecordSource::Store && !faults.ignores_upstreams {
             self.breaker.note_upstream_unreachable(now, draw);
         }
     }
 
     /// Calls the store where that is the source; gives back the calls.
     fn call(&mut self, now: Instant, store_up: bool, draw: f64) -> usize {
-        if self.choice.source() != RecordSource::Store || now < self.next_call {
+        if self.selector.source() != RecordSource::Store || now < self.next_call {
             return 0;
         }
         self.next_call = now + STEP;
         if !self.breaker.may_call(now, draw) {
             return 0;
         }
-        self.next_call = now + WANTS_EVERY;
+        self.next_call = now + CALL_INTERVAL;
         if store_up {
             self.breaker.note_answer();
-            self.knows = now;
+            self.current_as_of = now;
         } else {
             // A planted fault asks as often as nodes did before there was a breaker.
             self.breaker.note_failure(now, now, draw);
@@ -148,12 +148,12 @@
     /// Calls of the nodes that are no upstreams, during the outage.
     calls: usize,
     /// Time after the store's return in which the last node knew of it.
-    last_knew: Duration,
+    recovery_time: Duration,
     /// The oldest that any node's belief got before the outage.
-    oldest_before: Duration,
+    max_age_before: Duration,
 }
 
-fn run(seed: u64, trouble: Trouble) -> Outcome {
+fn run(seed: u64, faults: Faults) -> Outcome {
     let mut random = StdRng::seed_from_u64(seed);
     let mut upstreams: Vec<Upstream> = (0..UPSTREAMS)
         .map(|number| Upstream {
@@ -162,30 +162,30 @@
                 nodes: NODES,
                 relied_on: true,
             }),
-            cut: number < trouble.cut_upstreams,
-            answered: START,
+            cut: number < faults.cut_upstreams,
+            last_answer: START,
             failing_since: None,
             next_call: START,
         })
         .collect();
     let mut nodes: Vec<Node> = (0..NODES - UPSTREAMS).map(Node::new).collect();
-    let returned = OUTAGE_START + trouble.outage;
-    let mut outcome = Outcome { calls: 0, last_knew: Duration::ZERO, oldest_before: Duration::ZERO };
+    let store_return = OUTAGE_START + faults.outage;
+    let mut outcome = Outcome { calls: 0, recovery_time: Duration::ZERO, max_age_before: Duration::ZERO };
     let mut now = START;
-    while now < returned + Duration::from_secs(8) {
-        let in_outage = now >= OUTAGE_START && now < returned;
+    while now < store_return + Duration::from_secs(8) {
+        let in_outage = now >= OUTAGE_START && now < store_return;
         for upstream in &mut upstreams {
             upstream.step(now, !in_outage, random.random());
         }
         for node in &mut nodes {
-            node.poll(now, &upstreams, &trouble, &mut random);
+            node.poll(now, &upstreams, &faults, &mut random);
             let calls = node.call(now, !in_outage, random.random());
             outcome.calls += if in_outage { calls } else { 0 };
             if now > START + Duration::from_secs(5) && now < OUTAGE_START {
-                outcome.oldest_before = outcome.oldest_before.max(now.since(node.knows));
+                outcome.max_age_before = outcome.max_age_before.max(now.since(node.current_as_of));
             }
-            if now >= returned && node.knows < returned {
-                outcome.last_knew = now.since(returned);
+            if now >= store_return && node.current_as_of < store_return {
+                outcome.recovery_time = now.since(store_return);
             }
         }
         now = now + STEP;
@@ -193,7 +193,7 @@
     outcome
 }
 
-const OUTAGE: Trouble = Trouble {
+const OUTAGE: Faults = Faults {
     outage: Duration::from_secs(6),
     cut_upstreams: 0,
     dead_upstreams: 0,
@@ -203,64 +203,64 @@
 
 /// Calls that all nodes may make in an outage: each of them one as it begins, and
 /// its probes.
-fn most_calls(outage: Duration) -> usize {
+fn max_calls(outage: Duration) -> usize {
     let probes = outage.as_secs_f64() / (MAX_SHARED_PAUSE.as_secs_f64() * 0.75) + 1.0;
     (NODES as f64 * probes) as usize
 }
 
 #[test]
-fn an_outage_costs_few_calls_and_its_end_is_known_at_once() {
+fn an_outage_costs_few_calls_and_its_end_is_detected_at_once() {
     for seed in 0..4 {
         let outcome = run(seed, OUTAGE);
-        assert!(outcome.calls <= most_calls(OUTAGE.outage), "seed {seed}: {outcome:?}");
-        assert!(outcome.last_knew <= Duration::from_millis(1_000), "seed {seed}: {outcome:?}");
-        assert!(outcome.oldest_before <= Duration::from_millis(1_700), "seed {seed}: {outcome:?}");
+        assert!(outcome.calls <= max_calls(OUTAGE.outage), "seed {seed}: {outcome:?}");
+        assert!(outcome.recovery_time <= Duration::from_millis(1_000), "seed {seed}: {outcome:?}");
+        assert!(outcome.max_age_before <= Duration::from_millis(1_700), "seed {seed}: {outcome:?}");
     }
 }
 
 /// Upstreams that are cut off from the store or dead delay the news by the time
 /// that polls rest at them, and not by pauses that grow with the outage.
 #[test]
-fn one_sound_upstream_is_enough() {
+fn one_reliable_upstream_is_enough() {
     for seed in 0..3 {
         for (cut_upstreams, dead_upstreams) in [(1, 0), (2, 0), (0, 1), (1, 1)] {
-            let outcome = run(seed, Trouble { cut_upstreams, dead_upstreams, ..OUTAGE });
-            assert!(outcome.calls <= most_calls(OUTAGE.outage), "seed {seed}: {outcome:?}");
-            let rests = HOLD * (cut_upstreams + dead_upstreams) as u32;
-            let bound = Duration::from_millis(1_000) + rests;
-            assert!(outcome.last_knew <= bound, "{cut_upstreams}, {dead_upstreams}, seed {seed}: {outcome:?}");
+            let outcome = run(seed, Faults { cut_upstreams, dead_upstreams, ..OUTAGE });
+            assert!(outcome.calls <= max_calls(OUTAGE.outage), "seed {seed}: {outcome:?}");
+            let held_polls = MAX_POLL_HOLD * (cut_upstreams + dead_upstreams) as u32;
+            let bound = Duration::from_millis(1_000) + held_polls;
+            assert!(outcome.recovery_time <= bound, "{cut_upstreams}, {dead_upstreams}, seed {seed}: {outcome:?}");
         }
     }
 }
 
 /// Lost polls make it no worse than a node by itself.
 #[test]
-fn lost_polls_are_borne() {
+fn lost_polls_do_not_delay_recovery() {
     for seed in 0..3 {
-        let outcome = run(seed, Trouble { cut_upstreams: 2, lost_polls: 0.1, ..OUTAGE });
-        assert!(outcome.calls <= most_calls(OUTAGE.outage), "seed {seed}: {outcome:?}");
-        assert!(outcome.last_knew <= own_bound(), "seed {seed}: {outcome:?}");
+        let outcome = run(seed, Faults { cut_upstreams: 2, lost_polls: 0.1, ..OUTAGE });
+        assert!(outcome.calls <= max_calls(OUTAGE.outage), "seed {seed}: {outcome:?}");
+        assert!(outcome.recovery_time <= max_recovery_alone(), "seed {seed}: {outcome:?}");
     }
 }
 
 /// Time in which each node finds out by itself.
-fn own_bound() -> Duration {
+fn max_recovery_alone() -> Duration {
     MAX_SHARED_PAUSE.mul_f64(1.25) + Duration::from_millis(100)
 }
 
 /// No upstream is needed: each node finds out by itself within its bound.
 #[test]
-fn without_any_upstream_each_node_finds_out_by_itself() {
+fn without_upstreams_each_node_detects_the_recovery() {
     for seed in 0..3 {
-        let outcome = run(seed, Trouble { cut_upstreams: UPSTREAMS, ..OUTAGE });
-        assert!(outcome.last_knew <= own_bound(), "seed {seed}: {outcome:?}");
+        let outcome = run(seed, Faults { cut_upstreams: UPSTREAMS, ..OUTAGE });
+        assert!(outcome.recovery_time <= max_recovery_alone(), "seed {seed}: {outcome:?}");
     }
 }
 
 /// The check finds nodes that don't believe their upstreams.
 #[test]
-fn nodes_that_ignore_their_upstreams_are_caught() {
-    let believing = run(1, OUTAGE).calls;
-    let ignoring = run(1, Trouble { ignores_upstreams: true, ..OUTAGE }).calls;
-    assert!(ignoring > believing + NODES / 2, "{ignoring} calls, {believing} by nodes that believe");
+fn the_check_detects_nodes_that_ignore_their_upstreams() {
+    let following = run(1, OUTAGE).calls;
+    let ignoring = run(1, Faults { ignores_upstreams: true, ..OUTAGE }).calls;
+    assert!(ignoring > following + NODES / 2, "{ignoring} calls, {following} by nodes that believe");
 }
--- a/crates/records/src/watch_cache.rs
+++ b/crates/records/src/watch_cache.rs
@@ -320,7 +320,7 @@
             let started = Instant::now();
             let (upstream, wait) = {
                 let choice = lock(&self.choice);
-                (choice.upstream().and_then(|number| self.upstreams.get(number)), choice.poll_wait())
+                (choice.upstream().and_then(|number| self.upstreams.get(number)), choice.poll_condition())
             };
             let Some(upstream) = upstream else { return };
             let polled = tokio::select! {
