--- a/crates/core/src/record_source.rs
+++ b/crates/core/src/record_source.rs
@@ -25,15 +25,12 @@
 const START_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Initial backoff between two polls while starting.
 const START_BACKOFF: Duration = Duration::from_millis(80);
-/// The same where upstreams tell that what is missing comes later: they have a
-/// listing under way, or lists to send to many nodes that started together. The store
-/// has no more room for the lists of all nodes than they: 50 calls a node where there
-/// are 10,000 servers.
+/// Time for which a starting node waits for upstreams that will send missing records later, since
+/// the store can't list all records for many nodes that start together.
 pub const DEFERRAL_TIMEOUT: Duration = Duration::from_secs(20);
 /// Maximum backoff between two polls while starting.
 const MAX_START_BACKOFF: Duration = Duration::from_millis(640);
-/// Time for which upstreams that are behind the node itself, and sound otherwise, are
-/// waited for. One whose watch of the store lives hears of changes within half of it.
+/// Time for which a node polls upstreams that are behind it but otherwise reliable.
 pub const CATCH_UP_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Consecutive failures of upstreams after which a node follows the store.
 const FAILURES_BEFORE_STORE: u32 = 2;
@@ -44,7 +41,7 @@
 /// Source of the followed records.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordSource {
-    /// No upstream has answered yet; the node still waits for one.
+    /// None yet: the node is starting and waits for a reliable upstream.
     Undecided,
     /// Another node's cache.
     Upstream,
@@ -52,51 +49,50 @@
     Store,
 }
 
-/// What an upstream told of itself.
+/// State that an upstream reported.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UpstreamState {
-    /// Time since the store was last known to answer it.
+    /// Time since the store last answered the upstream.
     pub age: Duration,
-    /// Time for which its calls to the store have been failing; zero if they succeed.
+    /// Time for which the upstream's calls to the store have been failing; zero if they succeed.
     pub outage: Duration,
     /// Whether the answer holds all requested records.
     pub complete: bool,
     /// Whether the upstream will send the missing records later.
     pub defers: bool,
-    /// Whether its records are older than those of the polling node.
+    /// Whether the upstream's records are older than those of the polling node.
     pub behind: bool,
 }
 
 impl UpstreamState {
-    /// Whether what it tells can be relied on.
+    /// Whether a node may follow the upstream's records.
     pub fn is_reliable(&self) -> bool {
         self.complete && !self.behind && !self.store_is_unreachable()
     }
 
-    /// Whether all that keeps it from being sound is that it has not heard yet of what
-    /// the node knows.
+    /// Whether the upstream would be reliable if it were not behind.
     fn is_only_behind(&self) -> bool {
         self.behind && self.complete && !self.store_is_unreachable()
     }
 
-    /// Whether the store doesn't answer it.
+    /// Whether the store does not answer the upstream.
     pub fn store_is_unreachable(&self) -> bool {
         self.age > AGE_LIMIT || self.outage > OUTAGE_LIMIT
     }
 }
 
-/// How an upstream is to treat a poll.
+/// Condition on which an upstream answers a poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PollCondition {
     /// Answer at once.
     Nothing,
-    /// Answer when there is news.
+    /// Answer when there is a change.
     Change,
-    /// Answer when it can be relied on.
+    /// Answer when the upstream is reliable.
     Reliable,
 }
 
-/// The choice between the store and a number of upstreams.
+/// Selects the store or one of several upstreams as source.
 #[derive(Clone, Debug)]
 pub struct SourceSelector {
     upstreams: usize,
