--- a/crates/core/tests/record_source.rs
+++ b/crates/core/tests/record_source.rs
@@ -1,4 +1,4 @@
-//! The choice between the record store and other nodes' caches.
+//! Selection of the record source among the store and upstreams.
 
 use latchwheel_core::record_source::{
     PollCondition, RecordSource, SourceSelector, UpstreamState, AGE_LIMIT, CATCH_UP_TIMEOUT, DEFERRAL_TIMEOUT,
@@ -47,13 +47,13 @@
         selector.note_answer(later(100), &RELIABLE);
         assert_eq!(selector.poll_condition(), PollCondition::Change);
         assert_eq!(selector.note_answer(later(5_000), &state), Duration::ZERO);
-        assert_eq!(selector.source(), RecordSource::Upstream, "the other one is asked first");
+        assert_eq!(selector.source(), RecordSource::Upstream, "the next upstream is polled before the store");
         assert_eq!((selector.upstream(), selector.poll_condition()), (Some(1), PollCondition::Nothing));
         selector.note_answer(later(5_010), &state);
         assert_eq!(selector.source(), RecordSource::Store, "{state:?}");
         assert_eq!((selector.upstream(), selector.poll_condition()), (Some(0), PollCondition::Reliable));
         let backoff = selector.note_answer(later(5_610), &state);
-        assert_eq!(backoff.is_zero(), state.complete, "an upstream that holds polls is asked again at once");
+        assert_eq!(backoff.is_zero(), state.complete, "an upstream that holds polls is polled again at once");
         selector.note_answer(later(6_000), &RELIABLE);
         assert_eq!(selector.source(), RecordSource::Upstream);
     }
@@ -67,8 +67,8 @@
     assert_eq!(selector.source(), RecordSource::Store);
 }
 
-/// An upstream that knows less than the node is waited for, then left for the next one,
-/// and that one for the store if it is behind as well.
+/// An upstream that stays behind is replaced by the next one, and by the store if that one is behind
+/// too.
 #[test]
 fn an_upstream_that_is_behind_gets_time_to_catch_up() {
     let behind = UpstreamState { behind: true, ..RELIABLE };
@@ -86,8 +86,7 @@
     assert_eq!((selector.source(), selector.poll_condition()), (RecordSource::Upstream, PollCondition::Change));
 }
 
-/// A node that watches the store itself goes on with that, however long its upstreams
-/// are behind.
+/// A node that watches the store keeps doing so while its upstreams are behind.
 #[test]
 fn an_upstream_that_is_behind_does_not_replace_the_store() {
     let behind = UpstreamState { behind: true, ..RELIABLE };
@@ -107,8 +106,7 @@
     assert_eq!(backoffs, [0, 0, 0, 250, 500, 1_000]);
 }
 
-/// Upstreams that have lists to send to many nodes are waited for; the store, which
-/// would have to list all to each, is not asked before their time is over.
+/// Many nodes that start together must not all list the records from the store.
 #[test]
 fn a_starting_node_waits_for_upstreams_that_defer() {
     let defers = UpstreamState { complete: false, defers: true, ..RELIABLE };
@@ -118,7 +116,7 @@
     while now < START + DEFERRAL_TIMEOUT {
         let backoff = selector.note_answer(now, &defers);
         assert_eq!(selector.source(), RecordSource::Undecided, "at {now:?}");
-        assert!(!backoff.is_zero(), "it must not be asked without a pause");
+        assert!(!backoff.is_zero(), "an upstream that defers must not be polled without a backoff");
         now = now + backoff;
         polls += 1;
     }
@@ -129,8 +127,8 @@
     assert_eq!(selector.source(), RecordSource::Upstream);
 }
 
-/// A deferral is no reason to believe an upstream that the store does not answer, nor
-/// to rest on one that a node has followed so far.
+/// Waiting for a deferral must not keep a node on an upstream without the store or on one that it
+/// already follows.
 #[test]
 fn a_deferral_does_not_hide_an_outage() {
     let unreachable = UpstreamState { age: AGE_LIMIT * 2, complete: false, defers: true, ..RELIABLE };
@@ -146,9 +144,8 @@
 }
 
 proptest! {
-    /// Whatever upstreams say, a node is never left without a source once the
-    /// start is over, and never follows upstreams of which two in a row were not
-    /// sound.
+    /// After the start a node always has a source, and never follows an upstream after two
+    /// consecutive unreliable answers.
     #[test]
     fn a_node_always_has_a_reliable_source(
         outcomes in prop::collection::vec((any::<bool>(), 0_u64..3_000, 0_u64..1_000, any::<bool>()), 1..60),
--- a/crates/core/tests/store_outage.rs
+++ b/crates/core/tests/store_outage.rs
@@ -1,5 +1,5 @@
-//! 300 nodes, three of them upstreams, through outages of the record store, cut
-//! upstreams and lost polls: what they call, and when they know of its return.
+//! Outages of the record store with failed upstreams and lost polls must cost few calls, and nodes
+//! must detect the recovery soon.
 
 use latchwheel_core::circuit_breaker::{CircuitBreaker, ProbePolicy, MAX_SHARED_PAUSE};
 use latchwheel_core::record_source::{PollCondition, RecordSource, SourceSelector, UpstreamState};
@@ -12,26 +12,26 @@
 const UPSTREAMS: usize = 3;
 const CALLS_PER_SECOND: f64 = 32.0;
 const STEP: Duration = Duration::from_millis(10);
-/// Time that an upstream holds a poll.
+/// Maximum time for which an upstream holds a poll.
 const MAX_POLL_HOLD: Duration = Duration::from_millis(600);
-/// Time between two calls of an upstream that is answered.
+/// Interval of an upstream's calls while the store answers.
 const RENEWAL: Duration = Duration::from_millis(400);
-/// Time between two calls that a node wants to make while it follows the store.
+/// Interval of a node's calls while it follows the store.
 const CALL_INTERVAL: Duration = Duration::from_millis(400);
 const OUTAGE_START: Instant = Instant::from_micros(70_000_000);
 const START: Instant = Instant::from_micros(60_000_000);
 
-/// What goes wrong in a schedule.
+/// Faults of a schedule.
 #[derive(Clone, Copy, Debug)]
 struct Faults {
     outage: Duration,
-    /// Upstreams that the store doesn't answer for as long as the schedule runs.
+    /// Number of upstreams, from the first, that the store never answers.
     cut_upstreams: usize,
-    /// Upstreams that answer no poll, the last ones.
+    /// Number of upstreams, from the last, that answer no poll.
     dead_upstreams: usize,
-    /// Share of polls that are lost.
+    /// Fraction of polls that are lost.
     lost_polls: f64,
-    /// A planted fault: nodes don't believe what upstreams tell of the store.
+    /// Injected fault: nodes ignore upstream reports that the store is unreachable.
     ignores_upstreams: bool,
 }
 
@@ -70,10 +70,10 @@
 struct Node {
     selector: SourceSelector,
     breaker: CircuitBreaker,
-    /// When the poll on its way was sent, or when the next one is.
+    /// When the current poll was sent or the next one is due.
     poll_at: Instant,
     next_call: Instant,
-    /// As of when what it believes is known to be true.
+    /// Time as of which the node's records are current.
     current_as_of: Instant,
 }
 
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Ends the poll on its way once its upstream answers it.
+    /// Ends the current poll once its upstream answers.
     fn poll(&mut self, now: Instant, upstreams: &[Upstream], faults: &Faults, random: &mut StdRng) {
         let Some(number) = self.selector.upstream().filter(|_| now >= self.poll_at) else { return };
         let state = upstreams[number].state(now);
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Calls the store where that is the source; gives back the calls.
+    /// Calls the store if it is the source. Returns the number of calls.
     fn call(&mut self, now: Instant, store_up: bool, draw: f64) -> usize {
         if self.selector.source() != RecordSource::Store || now < self.next_call {
             return 0;
@@ -135,21 +135,20 @@
             self.breaker.note_answer();
             self.current_as_of = now;
         } else {
-            // A planted fault asks as often as nodes did before there was a breaker.
             self.breaker.note_failure(now, now, draw);
         }
         1
     }
 }
 
-/// What a schedule came to.
+/// Result of a schedule.
 #[derive(Debug)]
 struct Outcome {
-    /// Calls of the nodes that are no upstreams, during the outage.
+    /// Calls to the store during the outage, without those of upstreams.
     calls: usize,
-    /// Time after the store's return in which the last node knew of it.
+    /// Time from the end of the outage until the last node detected it.
     recovery_time: Duration,
-    /// The oldest that any node's belief got before the outage.
+    /// Maximum age of any node's records before the outage.
     max_age_before: Duration,
 }
 
@@ -201,8 +200,7 @@
     ignores_upstreams: false,
 };
 
-/// Calls that all nodes may make in an outage: each of them one as it begins, and
-/// its probes.
+/// Maximum calls of all nodes in an outage: for each node one at its start, and its probes.
 fn max_calls(outage: Duration) -> usize {
     let probes = outage.as_secs_f64() / (MAX_SHARED_PAUSE.as_secs_f64() * 0.75) + 1.0;
     (NODES as f64 * probes) as usize
@@ -218,8 +216,8 @@
     }
 }
 
-/// Upstreams that are cut off from the store or dead delay the news by the time
-/// that polls rest at them, and not by pauses that grow with the outage.
+/// Failed upstreams may delay the detection of the recovery by the polls that they hold, but not by
+/// backoffs that grow with the outage.
 #[test]
 fn one_reliable_upstream_is_enough() {
     for seed in 0..3 {
@@ -233,7 +231,7 @@
     }
 }
 
-/// Lost polls make it no worse than a node by itself.
+/// With lost polls a node detects the recovery as soon as one without upstreams.
 #[test]
 fn lost_polls_do_not_delay_recovery() {
     for seed in 0..3 {
@@ -243,12 +241,12 @@
     }
 }
 
-/// Time in which each node finds out by itself.
+/// Maximum time for a node without upstreams to detect the recovery.
 fn max_recovery_alone() -> Duration {
     MAX_SHARED_PAUSE.mul_f64(1.25) + Duration::from_millis(100)
 }
 
-/// No upstream is needed: each node finds out by itself within its bound.
+/// Nodes must not depend on upstreams to detect the recovery.
 #[test]
 fn without_upstreams_each_node_detects_the_recovery() {
     for seed in 0..3 {
@@ -257,10 +255,9 @@
     }
 }
 
-/// The check finds nodes that don't believe their upstreams.
 #[test]
 fn the_check_detects_nodes_that_ignore_their_upstreams() {
     let following = run(1, OUTAGE).calls;
     let ignoring = run(1, Faults { ignores_upstreams: true, ..OUTAGE }).calls;
-    assert!(ignoring > following + NODES / 2, "{ignoring} calls, {following} by nodes that believe");
+    assert!(ignoring > following + NODES / 2, "{ignoring} calls by nodes that ignore upstreams, {following} by others");
 }
