--- a/crates/core/src/replication/mod.rs
+++ b/crates/core/src/replication/mod.rs
@@ -258,7 +258,7 @@
     }
 
     /// Voters that answered this leader within the election timeout, itself included.
-    pub fn reachable(&self, now: Instant) -> Vec<u64> {
+    pub fn reachable_voters(&self, now: Instant) -> Vec<u64> {
         let reachable_window = self.settings.election_timeout;
         let responded =
             |replica: &u64| self.peers.get(replica).is_some_and(|peer| peer.responded_within(now, reachable_window));
@@ -327,7 +327,7 @@
 
     fn tick(&mut self, now: Instant, actions: &mut Vec<Action>) {
         if self.role == Role::Leader {
-            if self.reachable(now).len() < self.quorum() && now >= self.election_deadline {
+            if self.reachable_voters(now).len() < self.quorum() && now >= self.election_deadline {
                 // Check-quorum: a leader without a quorum steps down.
                 self.become_follower(now, self.hard.term, 0, actions);
                 return;
--- a/crates/core/src/replication/replacement.rs
+++ b/crates/core/src/replication/replacement.rs
@@ -12,13 +12,13 @@
     /// The current members.
     pub members: &'a Members,
     /// Live replicas, whether members or not.
-    pub present: &'a [Replica],
+    pub live: &'a [Replica],
     /// Members that have been unreachable for longer than the grace period.
     pub lost: &'a BTreeSet<u64>,
     /// Learners that have caught up.
     pub caught_up: &'a [u64],
-    /// Target number of voters.
-    pub wanted: usize,
+    /// Number of voters that the group should have.
+    pub target_voters: usize,
     /// The leader, which is not removed to reduce the number of voters.
     pub leader: u64,
 }
@@ -32,12 +32,12 @@
     if let Some(learner) = replicas.iter().find(|replica| !replica.voter && is_lost(replica)) {
         return Some(without(health.members, learner.replica));
     }
-    if voters > health.wanted {
+    if voters > health.target_voters {
         let lost = replicas.iter().filter(|replica| replica.voter).find(is_lost);
         let removed = lost.map(|replica| replica.replica).or_else(|| voter_in_largest_zone(&health))?;
         return Some(without(health.members, removed));
     }
-    if voters < health.wanted || lost_voters > 0 || can_improve_spread(&health) {
+    if voters < health.target_voters || lost_voters > 0 || can_improve_spread(&health) {
         if let Some(learner) = health.caught_up.first() {
             return Some(with_voter(health.members, *learner));
         }
@@ -56,7 +56,7 @@
     let empty_zone = |replica: &&Replica| health.members.replicas.iter().all(|member| member.zone != replica.zone);
     let learner_elsewhere =
         health.members.replicas.iter().any(|member| !member.voter && !zones.contains_key(member.zone.as_str()));
-    zones.values().any(|count| *count > 1) && (learner_elsewhere || health.present.iter().any(|r| empty_zone(&r)))
+    zones.values().any(|count| *count > 1) && (learner_elsewhere || health.live.iter().any(|r| empty_zone(&r)))
 }
 
 fn voters_by_zone<'a>(health: &GroupHealth<'a>) -> BTreeMap<&'a str, usize> {
@@ -86,18 +86,18 @@
         }
     }
     health
-        .present
+        .live
         .iter()
         .filter(|replica| !members.contains(&replica.replica))
         .min_by_key(|replica| (by_zone.get(replica.zone.as_str()).copied().unwrap_or(0), replica.replica))
 }
 
 /// Initial members of a group: live replicas spread over the zones.
-pub fn first_members(present: &[Replica], wanted: usize) -> Members {
+pub fn first_members(live: &[Replica], target_voters: usize) -> Members {
     let mut members = Members::default();
     let lost = BTreeSet::new();
-    while members.replicas.len() < wanted {
-        let health = GroupHealth { members: &members, present, lost: &lost, caught_up: &[], wanted, leader: 0 };
+    while members.replicas.len() < target_voters {
+        let health = GroupHealth { members: &members, live, lost: &lost, caught_up: &[], target_voters, leader: 0 };
         let Some(replica) = next_learner(&health).cloned() else { break };
         members.replicas.push(Replica { voter: true, ..replica });
     }
--- a/crates/core/tests/replication.rs
+++ b/crates/core/tests/replication.rs
@@ -224,14 +224,14 @@
 
 #[test]
 fn first_members_spread_over_zones() {
-    let present = [replica(1, "a"), replica(2, "a"), replica(3, "b"), replica(4, "c")];
-    let zones: BTreeSet<String> = first_members(&present, 3).replicas.into_iter().map(|replica| replica.zone).collect();
+    let live = [replica(1, "a"), replica(2, "a"), replica(3, "b"), replica(4, "c")];
+    let zones: BTreeSet<String> = first_members(&live, 3).replicas.into_iter().map(|replica| replica.zone).collect();
     assert_eq!(zones.len(), 3);
 }
 
 #[test]
 fn a_lost_voter_is_removed_only_after_its_successor_votes() {
-    let mut present = vec![replica(1, "a"), replica(2, "b"), replica(4, "c")];
+    let mut live = vec![replica(1, "a"), replica(2, "b"), replica(4, "c")];
     let lost = BTreeSet::from([3]);
     let mut current = members(&["a", "b", "c"]);
     let mut steps = Vec::new();
@@ -240,10 +240,10 @@
             current.replicas.iter().filter(|replica| !replica.voter).map(|replica| replica.replica).collect();
         let health = GroupHealth {
             members: &current,
-            present: &present,
+            live: &live,
             lost: &lost,
             caught_up: &caught_up,
-            wanted: 3,
+            target_voters: 3,
             leader: 1,
         };
         let Some(next) = next_members(health) else { break };
@@ -253,19 +253,19 @@
     }
     assert_eq!(steps, vec![(4, 3), (4, 4), (3, 3)], "added as learner, promoted, then the lost voter is removed");
     assert!(!current.replicas.iter().any(|replica| replica.replica == 3));
-    present.clear();
+    live.clear();
 }
 
 #[test]
 fn two_voters_of_a_zone_are_spread_once_another_zone_has_a_replica() {
     let current = members(&["a", "a", "b"]);
-    let present = [replica(1, "a"), replica(2, "a"), replica(3, "b"), replica(9, "c")];
+    let live = [replica(1, "a"), replica(2, "a"), replica(3, "b"), replica(9, "c")];
     let health = GroupHealth {
         members: &current,
-        present: &present,
+        live: &live,
         lost: &BTreeSet::new(),
         caught_up: &[],
-        wanted: 3,
+        target_voters: 3,
         leader: 1,
     };
     let next = next_members(health).expect("a learner in zone c is added");
--- a/crates/core/tests/simulation/machine.rs
+++ b/crates/core/tests/simulation/machine.rs
@@ -68,7 +68,7 @@
     pub deferred: VecDeque<Message>,
     pub boot: u64,
     pub settings: Settings,
-    pub wanted: usize,
+    pub target_voters: usize,
 }
 
 pub fn node_of(machine: MachineNumber) -> NodeId {
@@ -76,7 +76,7 @@
 }
 
 impl World {
-    pub fn add_machine(&mut self, zone: &str, replica: u64, settings: Settings, wanted: usize) {
+    pub fn add_machine(&mut self, zone: &str, replica: u64, settings: Settings, target_voters: usize) {
         self.machines.push(Machine {
             zone: zone.into(),
             replica,
@@ -86,7 +86,7 @@
             deferred: VecDeque::new(),
             boot: 0,
             settings,
-            wanted,
+            target_voters,
         });
     }
 
--- a/crates/core/tests/simulation/schedule.rs
+++ b/crates/core/tests/simulation/schedule.rs
@@ -51,7 +51,7 @@
         world.add_machine(&zone, replica, replication, settings.replicas);
         world.holders.push(Holder::for_machine(world.holders.len()));
     }
-    let present: Vec<Replica> = world
+    let live: Vec<Replica> = world
         .machines
         .iter()
         .enumerate()
@@ -62,7 +62,7 @@
             voter: false,
         })
         .collect();
-    world.bootstrap(&first_members(&present, settings.replicas));
+    world.bootstrap(&first_members(&live, settings.replicas));
     for number in 0..settings.jobs {
         let cancel = world.random.random_bool(0.25);
         let cancel_at = cancel.then(|| world.now + world.random_milliseconds(500, 7000));
--- a/crates/core/tests/simulation/upkeep.rs
+++ b/crates/core/tests/simulation/upkeep.rs
@@ -17,7 +17,7 @@
         let now = self.now;
         // The simulated membership is exact: a machine is absent while it is down
         // or paused.
-        let present: Vec<Replica> = (0..self.machines.len())
+        let live: Vec<Replica> = (0..self.machines.len())
             .filter(|other| self.is_alive(*other) && !self.machines[*other].paused)
             .map(|other| Replica {
                 replica: self.machines[other].replica,
@@ -26,9 +26,9 @@
                 voter: false,
             })
             .collect();
-        let alive_nodes: BTreeSet<u64> = present.iter().map(|replica| replica.node).collect();
-        let alive: BTreeSet<u64> = present.iter().map(|replica| replica.replica).collect();
-        let wanted = self.machines[number].wanted;
+        let alive_nodes: BTreeSet<u64> = live.iter().map(|replica| replica.node).collect();
+        let alive: BTreeSet<u64> = live.iter().map(|replica| replica.replica).collect();
+        let target_voters = self.machines[number].target_voters;
         let Some(running) = self.machines[number].running.as_mut() else { return };
         if running.core.role() != Role::Leader || running.blocked {
             return;
@@ -50,10 +50,10 @@
         let leader = running.core.leader();
         let health = GroupHealth {
             members: running.core.members(),
-            present: &present,
+            live: &live,
             lost: &lost,
             caught_up: &caught_up,
-            wanted,
+            target_voters,
             leader,
         };
         let change = next_members(health);
--- a/crates/store/src/group/upkeep.rs
+++ b/crates/store/src/group/upkeep.rs
@@ -74,15 +74,15 @@
             .map(|(replica, _)| *replica)
             .collect();
         let caught_up = self.core.caught_up_learners();
-        let situation = GroupHealth {
+        let health = GroupHealth {
             members: self.core.members(),
-            present: &self.present.replicas,
+            live: &self.present.replicas,
             lost: &lost,
             caught_up: &caught_up,
-            wanted: self.wanted,
+            target_voters: self.wanted,
             leader: self.me,
         };
-        if let Some(members) = next_members(situation) {
+        if let Some(members) = next_members(health) {
             log::info!(target: "E6102", "store group {}: members become {:?}", self.group, members.replicas);
             actions.extend(self.core.handle(now, Event::ProposeMembers(members)));
         }
