--- a/crates/core/tests/simulation/client.rs
+++ b/crates/core/tests/simulation/client.rs
@@ -1,7 +1,7 @@
-//! A client: it makes a job, resends until it is acknowledged, and may
-//! cancel it.
+//! A client that creates a job, resends each request until it is acknowledged,
+//! and may cancel the job.
 
-use super::world::{Destination, Happening, MachineNumber, Message, World};
+use super::world::{Destination, MachineNumber, Message, SimEvent, World};
 use latchwheel_core::code::ResultCode;
 use latchwheel_core::time::Instant;
 use latchwheel_protocol::v1::command::Body;
@@ -11,7 +11,7 @@
 
 const TICK: (u64, u64) = (80, 300);
 
-/// What a client wants.
+/// The job that a client creates.
 #[derive(Clone, Debug)]
 pub struct JobPlan {
     pub job: String,
@@ -21,7 +21,7 @@
     pub cancel_at: Option<Instant>,
 }
 
-/// A client.
+/// State of a client.
 pub struct Client {
     pub plan: JobPlan,
     pub step: usize,
@@ -79,8 +79,8 @@
 
 impl World {
     pub fn client_tick(&mut self, number: usize) {
-        let after = self.milliseconds(TICK.0, TICK.1);
-        self.schedule(after, Happening::ClientTick(number));
+        let after = self.random_milliseconds(TICK.0, TICK.1);
+        self.schedule(after, SimEvent::ClientTick(number));
         let now = self.now;
         let machine = self.random.random_range(0..self.machines.len());
         let client = &mut self.clients[number];
@@ -101,11 +101,11 @@
         if request != client.request {
             return;
         }
-        // A doubled answer must not count for the next step.
+        // A duplicate answer must not count for the next step.
         client.request += 1;
         client.leader = leader;
         let Ok(outcome) = result else { return };
-        let code = ResultCode::from_number(outcome.code).expect("a known code");
+        let code = ResultCode::from_number(outcome.code).expect("a valid result code");
         match (client.step, code) {
             (3, ResultCode::Accepted | ResultCode::Done) => {
                 client.created_at = Some(now);
@@ -120,9 +120,9 @@
                 client.step = 5;
             }
             (_, ResultCode::Done) => client.step += 1,
-            (step, code) => panic!("step {step} came to {code:?}"),
+            (step, code) => panic!("unexpected result {code:?} in step {step}"),
         }
         let soon = Duration::from_millis(1);
-        self.schedule(soon, Happening::ClientTick(number));
+        self.schedule(soon, SimEvent::ClientTick(number));
     }
 }
--- a/crates/core/tests/simulation/machine.rs
+++ b/crates/core/tests/simulation/machine.rs
@@ -1,8 +1,8 @@
-//! A machine with a disk and a replica. It behaves like the runtime: actions
-//! in order, nothing behind a sync before the sync has ended, and a crash
-//! takes whatever was not synced.
+//! A machine with a disk and a replica. Like the runtime, it performs actions in
+//! order and none before the preceding sync has ended; a crash loses all data
+//! that was not synced.
 
-use super::world::{Destination, Happening, LeaseAsk, MachineNumber, Message, World};
+use super::world::{Destination, LeaseQuery, MachineNumber, Message, SimEvent, World};
 use latchwheel_core::identity::NodeId;
 use latchwheel_core::jobs::JobState;
 use latchwheel_core::leasing::{LeaseRequester, Leasing};
@@ -20,7 +20,7 @@
 const TICK: Duration = Duration::from_millis(40);
 const UPKEEP_TICKS: u64 = 10;
 
-/// What a machine keeps over a crash.
+/// Data that survives a crash of the machine.
 #[derive(Clone, Debug, Default)]
 pub struct Disk {
     pub hard: HardState,
@@ -29,7 +29,7 @@
     pub entries: BTreeMap<u64, Entry>,
 }
 
-/// Who waits for a proposal.
+/// The recipient of the answer to a proposal.
 #[derive(Clone, Debug)]
 pub enum Waiter {
     Client { client: usize, request: u64 },
@@ -38,7 +38,7 @@
     Nobody,
 }
 
-/// A process on a machine.
+/// The running process of a machine.
 pub struct Running {
     pub core: Replication,
     pub state: JobState,
@@ -50,15 +50,15 @@
     pub blocked: bool,
     pub pending_hard: Option<HardState>,
     pub pending_writes: Vec<(Option<u64>, Vec<Entry>)>,
-    pub rest: Vec<Action>,
+    pub deferred_actions: Vec<Action>,
     pub inbox: VecDeque<Message>,
     pub lost_since: BTreeMap<u64, Instant>,
     pub ticks: u64,
-    /// Every applied command, for the checks.
+    /// Index and term of every applied entry, for the checks; term zero for a pulled state.
     pub applied: Vec<(u64, u64)>,
 }
 
-/// A machine.
+/// A machine, which may be running, paused or down.
 pub struct Machine {
     pub zone: String,
     pub replica: u64,
@@ -68,7 +68,7 @@
     pub deferred: VecDeque<Message>,
     pub boot: u64,
     pub settings: Settings,
-    pub wanted: usize,
+    pub target_voters: usize,
 }
 
 pub fn node_of(machine: MachineNumber) -> NodeId {
@@ -76,7 +76,7 @@
 }
 
 impl World {
-    pub fn add_machine(&mut self, zone: &str, replica: u64, settings: Settings, wanted: usize) {
+    pub fn add_machine(&mut self, zone: &str, replica: u64, settings: Settings, target_voters: usize) {
         self.machines.push(Machine {
             zone: zone.into(),
             replica,
@@ -86,7 +86,7 @@
             deferred: VecDeque::new(),
             boot: 0,
             settings,
-            wanted,
+            target_voters,
         });
     }
 
@@ -117,7 +117,7 @@
             blocked: false,
             pending_hard: None,
             pending_writes: Vec::new(),
-            rest: Vec::new(),
+            deferred_actions: Vec::new(),
             inbox: VecDeque::new(),
             lost_since: BTreeMap::new(),
             ticks: 0,
@@ -125,13 +125,13 @@
         });
         let boot = machine.boot;
         self.holders[number].reset();
-        self.schedule(TICK, Happening::MachineTick(number, boot));
-        let after = self.milliseconds(10, 80);
-        self.schedule(after, Happening::HolderTick(number, boot));
+        self.schedule(TICK, SimEvent::MachineTick(number, boot));
+        let after = self.random_milliseconds(10, 80);
+        self.schedule(after, SimEvent::HolderTick(number, boot));
     }
 
     pub fn crash(&mut self, number: MachineNumber) {
-        // A sync under way may or may not have reached the disk.
+        // A pending sync may or may not have reached the disk.
         let reached = self.random.random_bool(0.5);
         let machine = &mut self.machines[number];
         let Some(mut running) = machine.running.take() else { return };
@@ -152,7 +152,7 @@
         if self.machines[number].boot != boot || self.machines[number].running.is_none() {
             return;
         }
-        self.schedule(TICK, Happening::MachineTick(number, boot));
+        self.schedule(TICK, SimEvent::MachineTick(number, boot));
         if self.machines[number].paused {
             return;
         }
@@ -174,7 +174,7 @@
         self.machines[number].paused = false;
         let deferred = std::mem::take(&mut self.machines[number].deferred);
         for message in deferred {
-            self.schedule(Duration::ZERO, Happening::Deliver(Destination::Machine(number), message));
+            self.schedule(Duration::ZERO, SimEvent::Deliver(Destination::Machine(number), message));
         }
     }
 
@@ -193,7 +193,7 @@
             Message::Propose { client, request, command } => {
                 self.propose(number, command, Waiter::Client { client, request });
             }
-            Message::Lease { holder, ask } => self.serve_lease(number, holder, ask),
+            Message::Lease { holder, query } => self.serve_lease(number, holder, query),
             Message::Complete { holder, request, body } => self.serve_complete(number, holder, request, body),
             Message::Proposed { .. } | Message::Leased { .. } | Message::Completed { .. } => {}
         }
@@ -215,28 +215,28 @@
         self.machine_of(running.core.leader())
     }
 
-    fn serve_lease(&mut self, number: MachineNumber, holder: MachineNumber, ask: LeaseAsk) {
-        let LeaseAsk { request, room, held, term, unanswered } = ask;
+    fn serve_lease(&mut self, number: MachineNumber, holder: MachineNumber, query: LeaseQuery) {
+        let LeaseQuery { request, free_slots, held, term, abandoned } = query;
         let now = self.now;
         let leader = self.leader_seen_by(number);
         let Some(running) = self.machines[number].running.as_mut() else { return };
         let own_term = running.core.term();
         let Some(leasing) = running.leasing.as_mut() else {
-            let answer = Message::Leased { request, term: 0, items: vec![], ended: vec![], leader, taken: false };
+            let answer = Message::Leased { request, term: 0, items: vec![], ended: vec![], leader, accepted: false };
             return self.send(Some(number), Destination::Machine(holder), answer);
         };
         let without_positions = !held.is_empty() && held.iter().all(|chunk| chunk.positions.is_empty());
         if term != own_term && without_positions {
             let answer =
-                Message::Leased { request, term: own_term, items: vec![], ended: vec![], leader, taken: false };
+                Message::Leased { request, term: own_term, items: vec![], ended: vec![], leader, accepted: false };
             return self.send(Some(number), Destination::Machine(holder), answer);
         }
-        leasing.reclaim(now, node_of(holder), &unanswered, &running.state);
+        leasing.reclaim(now, node_of(holder), &abandoned, &running.state);
         let ended = leasing.renew(now, node_of(holder), &held, &running.state);
-        let asker = LeaseRequester { node: node_of(holder), request };
+        let requester = LeaseRequester { node: node_of(holder), request };
         let mut items = Vec::new();
         let mut starts = Vec::new();
-        for grant in leasing.grant(now, asker, "row", room, &running.state) {
+        for grant in leasing.grant(now, requester, "row", free_slots, &running.state) {
             let Some(job) = running.state.job(&grant.job) else { continue };
             if !job.record.repeatable {
                 let start = StartItems {
@@ -256,7 +256,7 @@
             }));
         }
         if starts.is_empty() {
-            let answer = Message::Leased { request, term: own_term, items, ended, leader, taken: true };
+            let answer = Message::Leased { request, term: own_term, items, ended, leader, accepted: true };
             return self.send(Some(number), Destination::Machine(holder), answer);
         }
         let command = Command { body: Some(Body::Batch(Batch { commands: starts })) };
@@ -285,7 +285,7 @@
         self.propose(number, command, Waiter::Complete { holder, request });
     }
 
-    /// Takes the whole disk of a machine; it comes back as a new replica.
+    /// Crashes a machine and erases its disk; it restarts as a new replica.
     pub fn lose_disk(&mut self, number: MachineNumber) {
         self.crash(number);
         let replica = self.random.random::<u64>() | 1;
@@ -293,8 +293,8 @@
         self.machines[number].replica = replica;
     }
 
-    /// Sets the group's first members and starts all machines.
-    pub fn found(&mut self, members: &Members) {
+    /// Stores the initial members on their disks and starts all machines.
+    pub fn bootstrap(&mut self, members: &Members) {
         for number in 0..self.machines.len() {
             let replica = self.machines[number].replica;
             if members.replicas.iter().any(|member| member.replica == replica) {
