--- a/crates/core/src/dispatch/mod.rs
+++ b/crates/core/src/dispatch/mod.rs
@@ -11,8 +11,8 @@
 mod expectation;
 mod failure_rate;
 mod heartbeats;
-mod holders;
 mod peers;
+mod preferred_workers;
 mod queues;
 mod ring;
 mod server;
@@ -25,8 +25,8 @@
 pub use deferrable::{reserve_of, reserve_of_overdue, Congestion, RecentPreemptions, StartBudget};
 pub use expectation::FirstPiece;
 pub use heartbeats::sends_heartbeat;
-pub use holders::{holders_of, is_holder};
 pub use peers::{Coverage, NodeShares, ServerKey, ServerShare, SharesSum, REPORT_TTL};
+pub use preferred_workers::{is_preferred_worker, preferred_workers};
 pub use queues::{RouteKey, RouteQueue};
 pub use server::{ServerLoad, ServerReport};
 pub use slowdown::{Slowdown, SpeedUpdate};
@@ -119,7 +119,7 @@
     /// No connection, or the connection broke.
     Broken,
     /// Nothing was heard for too long.
-    Silent,
+    Unresponsive,
 }
 
 /// What is known of all servers, for the choice among them.
@@ -237,9 +237,9 @@
     }
 
     /// Something was heard from a server.
-    pub fn note_heard(&mut self, now: Instant, server: &str) {
+    pub fn note_contact(&mut self, now: Instant, server: &str) {
         if let Some(server) = self.servers.get_mut(server) {
-            server.note_heard(now);
+            server.note_contact(now);
         }
     }
 
@@ -248,7 +248,7 @@
         if let Some(server) = self.servers.get_mut(server) {
             server.note_load(now, load);
         }
-        self.note_reported_slowdown(now, server, load.pace);
+        self.note_reported_slowdown(now, server, load.slowdown);
     }
 
     /// An attempt ended `time` after it was sent; `started` tells whether its
@@ -374,7 +374,7 @@
 
     /// Room for deferrable work at all servers of a service, in runs. Where there are
     /// many servers it is reckoned from some, others at each time.
-    pub fn room(&self, now: Instant, service: &str, reserve: f64) -> f64 {
+    pub fn free_slots_of(&self, now: Instant, service: &str, reserve: f64) -> f64 {
         let spread = now.since(Instant::default()).as_micros() as u64;
         let sampled_servers = self.sampled_servers(service, None, spread);
         let free = sampled_servers.map(|(_, server)| self.view(now, server).free_slots(reserve).max(0.0).floor());
--- a/crates/core/src/dispatch/server.rs
+++ b/crates/core/src/dispatch/server.rs
@@ -64,7 +64,7 @@
     pub slots: u32,
     /// Time that work takes there at present, in percent of the usual; `None` if it
     /// doesn't tell.
-    pub pace: Option<u32>,
+    pub slowdown: Option<u32>,
 }
 
 /// What is believed of a server, for reports.
@@ -90,7 +90,7 @@
     pub(super) address: Arc<str>,
     pub(super) ready: bool,
     /// Whether this node runs deferrable work there first.
-    pub(super) held: bool,
+    pub(super) is_preferred: bool,
     pub(super) key: ServerKey,
     /// Hash of its identity, for the homes of prefixes.
     pub(super) id_hash: u64,
@@ -274,7 +274,7 @@
     /// Seconds by which a server is worse for deferrable work that other nodes
     /// run there first.
     pub(super) fn cost_of_others(&self) -> f64 {
-        if self.state.held {
+        if self.state.is_preferred {
             0.0
         } else {
             NOT_HELD_COST
@@ -299,7 +299,7 @@
             service: record.service.clone(),
             address: record.address.clone(),
             ready: true,
-            held: true,
+            is_preferred: true,
             key: ServerKey::of(&record.id),
             id_hash: stable_hash(record.id.as_bytes()),
             slots: record.slots.max(1),
@@ -409,10 +409,10 @@
     pub(super) fn note_first_piece(&mut self, now: Instant, uncached: u32) {
         self.own_prefill_tokens = self.own_prefill_tokens.saturating_sub(uncached);
         self.failures_in_row = 0;
-        self.note_heard(now);
+        self.note_contact(now);
     }
 
-    pub(super) fn note_heard(&mut self, now: Instant) {
+    pub(super) fn note_contact(&mut self, now: Instant) {
         self.last_heard = now;
         self.overtaken_in_row = 0;
     }
@@ -423,7 +423,7 @@
         }
         self.told = Some((now, load));
         self.own_change = 0;
-        self.note_heard(now);
+        self.note_contact(now);
     }
 
     /// An attempt ended; `started` tells whether its first piece had come.
@@ -437,14 +437,14 @@
             Ending::Answered | Ending::Failed => {
                 self.failures_in_row = 0;
                 self.failure_rate.note(now, ending == Ending::Failed);
-                self.note_heard(now);
+                self.note_contact(now);
             }
             Ending::Withdrawn => {}
             Ending::Rejected => {
-                self.note_heard(now);
+                self.note_contact(now);
                 self.avoid_until = self.avoid_until.max(now + REJECTED_PAUSE);
             }
-            Ending::Misdirected | Ending::Broken | Ending::Silent => self.note_failure(now),
+            Ending::Misdirected | Ending::Broken | Ending::Unresponsive => self.note_failure(now),
         }
     }
 
--- a/crates/core/src/dispatch/server_set.rs
+++ b/crates/core/src/dispatch/server_set.rs
@@ -2,7 +2,7 @@
 
 use super::ring::ServerRing;
 use super::server::ServerState;
-use super::{is_holder, Dispatcher};
+use super::{is_preferred_worker, Dispatcher};
 use crate::directory::ServerRecord;
 use crate::identity::{stable_hash, NodeId};
 use std::collections::HashSet;
@@ -27,8 +27,10 @@
             Some(server) => server.renew(record),
             None => {
                 let mut server = ServerState::new(record);
-                server.held =
-                    self.deferring.as_ref().is_none_or(|(own, all)| is_holder(server.key, *own, all.iter().copied()));
+                server.is_preferred = self
+                    .deferring
+                    .as_ref()
+                    .is_none_or(|(own, all)| is_preferred_worker(server.key, *own, all.iter().copied()));
                 self.ids.insert(server.key, record.id.clone());
                 self.servers.insert(record.id.clone(), server);
             }
@@ -75,7 +77,7 @@
     fn mark_held(&mut self) {
         let Some((own, all)) = &self.deferring else { return };
         for server in self.servers.values_mut() {
-            server.held = is_holder(server.key, *own, all.iter().copied());
+            server.is_preferred = is_preferred_worker(server.key, *own, all.iter().copied());
         }
     }
 
--- a/crates/core/src/dispatch/slowdown.rs
+++ b/crates/core/src/dispatch/slowdown.rs
@@ -45,7 +45,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SpeedUpdate {
     /// The last pace that the server told.
-    pub pace: Option<Slowdown>,
+    pub slowdown: Option<Slowdown>,
     /// Time between two pieces of the last answer that ended.
     pub step: Option<Duration>,
 }
@@ -104,14 +104,14 @@
 impl ServerSpeed {
     /// The server told a pace at that time; an older one than the last changes nothing.
     pub(super) fn note_pace(&mut self, at: Instant, percent: u32, trust: &mut SlowdownValidity) {
-        let pace = (f64::from(percent) / 100.0).clamp(FASTEST, SLOWEST);
+        let slowdown = (f64::from(percent) / 100.0).clamp(FASTEST, SLOWEST);
         match self.told {
             Some((former_at, _)) if at <= former_at => return,
-            Some((former_at, former)) => trust.note(at.since(former_at), former - self.mean, pace - self.mean),
-            None => self.mean = pace,
+            Some((former_at, former)) => trust.note(at.since(former_at), former - self.mean, slowdown - self.mean),
+            None => self.mean = slowdown,
         }
-        self.mean += (pace - self.mean) * MEAN_WEIGHT;
-        self.told = Some((at, pace));
+        self.mean += (slowdown - self.mean) * MEAN_WEIGHT;
+        self.told = Some((at, slowdown));
     }
 
     /// A step took so long in parts of the service's usual one, at the pace believed.
@@ -121,19 +121,19 @@
     }
 
     /// Pace in parts of the usual, as believed now.
-    pub(super) fn pace(&self, now: Instant, trust: &SlowdownValidity) -> f64 {
+    pub(super) fn slowdown(&self, now: Instant, trust: &SlowdownValidity) -> f64 {
         let Some((at, told)) = self.told else { return 1.0 };
         self.mean + trust.at(now.since(at)) * (told - self.mean)
     }
 
     /// Time that work takes here now, in parts of the usual of the service.
     pub(super) fn time_factor(&self, now: Instant, trust: &SlowdownValidity) -> f64 {
-        (self.relative * self.pace(now, trust)).clamp(FASTEST, SLOWEST)
+        (self.relative * self.slowdown(now, trust)).clamp(FASTEST, SLOWEST)
     }
 
     /// The last told pace, for other nodes.
     pub(super) fn told(&self, now: Instant) -> Option<Slowdown> {
-        let (at, pace) = self.told?;
-        Some(Slowdown { percent: (pace * 100.0).round() as u32, age: now.since(at) })
+        let (at, slowdown) = self.told?;
+        Some(Slowdown { percent: (slowdown * 100.0).round() as u32, age: now.since(at) })
     }
 }
--- a/crates/core/src/dispatch/speeds.rs
+++ b/crates/core/src/dispatch/speeds.rs
@@ -15,7 +15,7 @@
         let (Some(percent), Some(server)) = (percent, self.servers.get_mut(server)) else { return };
         let cost = self.services.entry(server.service.clone()).or_default();
         server.speed.note_pace(now, percent, cost.pace_trust.get_or_insert_default());
-        server.speed_update.pace = server.speed.told(now);
+        server.speed_update.slowdown = server.speed.told(now);
         self.keeping.note_change(server.key);
     }
 
@@ -38,7 +38,7 @@
         let Some(server) = self.servers.get_mut(server) else { return };
         let Some(cost) = self.services.get_mut(&server.service) else { return };
         let Some(trust) = cost.pace_trust else { return };
-        let at_usual_pace = step.as_secs_f64() / server.speed.pace(now, &trust);
+        let at_usual_pace = step.as_secs_f64() / server.speed.slowdown(now, &trust);
         let ratio = cost.note_step(at_usual_pace);
         server.speed.note_step(ratio);
     }
@@ -56,10 +56,10 @@
     fn note_speed_news(&mut self, now: Instant, share: &ServerShare, news: SpeedUpdate) {
         let Some(id) = self.ids.get(&share.server).cloned() else { return };
         let Some(server) = self.servers.get_mut(&id) else { return };
-        if let Some(pace) = news.pace {
+        if let Some(slowdown) = news.slowdown {
             let cost = self.services.entry(server.service.clone()).or_default();
             let trust = cost.pace_trust.get_or_insert_default();
-            server.speed.note_pace(now - pace.age, pace.percent, trust);
+            server.speed.note_pace(now - slowdown.age, slowdown.percent, trust);
         }
         if let Some(step) = news.step {
             self.note_step(now, &id, step);
@@ -72,8 +72,8 @@
             let server = self.ids.get(&share.server).and_then(|id| self.servers.get_mut(id));
             let Some(server) = server else { continue };
             let news = std::mem::take(&mut server.speed_update);
-            let pace = news.pace.and_then(|_| server.speed.told(now));
-            share.speed = SpeedUpdate { pace, step: news.step };
+            let slowdown = news.slowdown.and_then(|_| server.speed.told(now));
+            share.speed = SpeedUpdate { slowdown, step: news.step };
         }
     }
 }
--- a/crates/core/tests/deferrable.rs
+++ b/crates/core/tests/deferrable.rs
@@ -116,7 +116,7 @@
 
     fn start(&mut self, step: u64, random: &mut SmallRng) {
         let reserve = reserve_of(1.0);
-        let room = self.dispatcher.room(now(step), "s", reserve);
+        let room = self.dispatcher.free_slots_of(now(step), "s", reserve);
         let share = self.dispatcher.share_of_waiting(now(step));
         self.budget.refill(now(step), room, share, 1.0 / NODES as f64);
         let prompt = Prompt::default();
--- a/crates/core/tests/dispatch.rs
+++ b/crates/core/tests/dispatch.rs
@@ -2,8 +2,8 @@
 
 use latchwheel_core::directory::ServerRecord;
 use latchwheel_core::dispatch::{
-    holders_of, Choice, Dispatcher, Ending, NodeShares, Placement, PlacementQuery, Prompt, PromptPart, ServerKey,
-    ServerLoad, ServerShare, REPORT_TTL,
+    preferred_workers, Choice, Dispatcher, Ending, NodeShares, Placement, PlacementQuery, Prompt, PromptPart,
+    ServerKey, ServerLoad, ServerShare, REPORT_TTL,
 };
 use latchwheel_core::identity::NodeId;
 use latchwheel_core::time::Instant;
@@ -128,7 +128,7 @@
 #[test]
 fn a_told_load_counts_while_it_is_young() {
     let mut dispatcher = dispatcher(&["a"]);
-    dispatcher.note_load(at(0), "a", ServerLoad { running: 4, waiting: 2, slots: 4, pace: None });
+    dispatcher.note_load(at(0), "a", ServerLoad { running: 4, waiting: 2, slots: 4, slowdown: None });
     assert_eq!(dispatcher.free_slots(at(0), "a", 0.0), Some(-2.0));
     assert_eq!(dispatcher.free_slots(at(5_000), "a", 0.0), Some(4.0));
 }
@@ -195,7 +195,7 @@
         second.note_sent(at(500), &Placement { server: other.into(), ..placement.clone() }, &empty);
     }
     assert_eq!(&*placed(second.choose(at(500), &ask(&empty, 0))).server, other);
-    second.note_heard(at(501), &placement.server);
+    second.note_contact(at(501), &placement.server);
     assert_eq!(placed(second.choose(at(502), &ask(&empty, 0))).server, placement.server);
 }
 
@@ -325,7 +325,7 @@
             ..ServerShare::default()
         };
         for name in &names {
-            dispatcher.note_load(at(0), name, ServerLoad { running: 0, waiting: 0, slots, pace: None });
+            dispatcher.note_load(at(0), name, ServerLoad { running: 0, waiting: 0, slots, slowdown: None });
         }
         dispatcher.note_peer(at(0), NodeId(77), 1, told(names.iter().enumerate().map(busy).collect()));
         let placement = placed(dispatcher.choose(at(1), &ask(&Prompt::default(), own)));
@@ -395,11 +395,11 @@
     let mut work: HashMap<NodeId, u32> = HashMap::new();
     for server in 0..300 {
         let key = ServerKey::of(&format!("server-{server}"));
-        let holders = holders_of(key, nodes.iter().copied());
-        assert_eq!(holders, holders_of(key, nodes.iter().rev().copied()));
+        let holders = preferred_workers(key, nodes.iter().copied());
+        assert_eq!(holders, preferred_workers(key, nodes.iter().rev().copied()));
         assert_eq!(holders.len(), 3);
         holders.into_iter().for_each(|node| *work.entry(node).or_default() += 1);
     }
     assert!(work.len() == 10 && work.values().all(|servers| (45..=135).contains(servers)), "{work:?}");
-    assert_eq!(holders_of(ServerKey::of("a"), [NodeId(7)].into_iter()), [NodeId(7)]);
+    assert_eq!(preferred_workers(ServerKey::of("a"), [NodeId(7)].into_iter()), [NodeId(7)]);
 }
--- a/crates/core/tests/many_servers.rs
+++ b/crates/core/tests/many_servers.rs
@@ -4,7 +4,8 @@
 
 use latchwheel_core::directory::ServerRecord;
 use latchwheel_core::dispatch::{
-    holders_of, is_holder, Dispatcher, Prompt, PromptPart, ServerKey, ServerShare, TrackerQuery, TrackerReply,
+    is_preferred_worker, preferred_workers, Dispatcher, Prompt, PromptPart, ServerKey, ServerShare, TrackerQuery,
+    TrackerReply,
 };
 use latchwheel_core::identity::{stable_hash, NodeId};
 use latchwheel_core::time::Instant;
@@ -160,9 +161,9 @@
     let nodes: Vec<NodeId> = (0..150).map(|number| NodeId::of_name(&format!("worker-{number}"))).collect();
     for number in 0..60 {
         let server = ServerKey::of(&record(number).id);
-        let holders = holders_of(server, nodes.iter().copied());
+        let holders = preferred_workers(server, nodes.iter().copied());
         let found: Vec<NodeId> =
-            nodes.iter().copied().filter(|node| is_holder(server, *node, nodes.iter().copied())).collect();
+            nodes.iter().copied().filter(|node| is_preferred_worker(server, *node, nodes.iter().copied())).collect();
         assert_eq!(found.len(), 3);
         assert!(found.iter().all(|node| holders.contains(node)));
     }
--- a/crates/core/tests/second_attempts.rs
+++ b/crates/core/tests/second_attempts.rs
@@ -133,7 +133,7 @@
     let first = placement(&dispatcher, 0, Duration::ZERO);
     assert_eq!(of(&dispatcher, &first, FirstPiece::OfStream), None, "no server tells its pace");
     for (number, pace) in [(0, 100), (1, 300)] {
-        let load = ServerLoad { running: 0, waiting: 0, slots: SLOTS, pace: Some(pace) };
+        let load = ServerLoad { running: 0, waiting: 0, slots: SLOTS, slowdown: Some(pace) };
         dispatcher.note_load(at(0), &name(number), load);
     }
     let second = placement(&dispatcher, 1, Duration::ZERO);
@@ -156,10 +156,10 @@
         let reports = dispatcher.reports(now);
         reports.iter().filter(|report| report.avoided).map(|report| report.id.to_string()).collect::<Vec<_>>()
     };
-    dispatcher.note_heard(at(90), &name(0));
+    dispatcher.note_contact(at(90), &name(0));
     dispatcher.note_overtaken(at(150), &name(0), at(100));
     assert!(avoided(&dispatcher, at(150)).is_empty(), "one may be chance");
-    dispatcher.note_heard(at(160), &name(0));
+    dispatcher.note_contact(at(160), &name(0));
     dispatcher.note_overtaken(at(170), &name(0), at(155));
     dispatcher.note_overtaken(at(190), &name(0), at(165));
     assert!(avoided(&dispatcher, at(190)).is_empty(), "it was heard in between");
@@ -296,7 +296,7 @@
             running: self.running[number].len() as u32,
             waiting: 0,
             slots: SLOTS,
-            pace: Some((pace(number, now, self.seed) * 100.0) as u32),
+            slowdown: Some((pace(number, now, self.seed) * 100.0) as u32),
         };
         self.node.note_load(at(now), &name(number), load);
         self.node.note_first_piece(at(now), &run.placement, millis(now - run.sent));
--- a/crates/core/tests/trackers.rs
+++ b/crates/core/tests/trackers.rs
@@ -221,7 +221,7 @@
     /// All servers work.
     fn pieces_come(&mut self, now: Instant) {
         for (_, front, placement) in &self.ends {
-            self.fronts[*front].note_heard(now, &placement.server);
+            self.fronts[*front].note_contact(now, &placement.server);
         }
     }
 
--- a/crates/core/tests/uneven_servers.rs
+++ b/crates/core/tests/uneven_servers.rs
@@ -101,7 +101,7 @@
                 let percent = (pace(number, millis, seed) * 100.0) as u32;
                 let step = STEP.mul_f64(lasting(number) * pace(number, millis, seed));
                 let age = Duration::from_millis(2);
-                share.speed = SpeedUpdate { pace: Some(Slowdown { percent, age }), step: Some(step) };
+                share.speed = SpeedUpdate { slowdown: Some(Slowdown { percent, age }), step: Some(step) };
             }
             tracker.note_peer_changes(at(millis), FRONT, sequence + 1, vec![share]);
             times.extend(ended.iter().map(|run| (millis - run.0) as f64 / 1000.0));
@@ -149,7 +149,7 @@
 fn a_told_pace_is_worth_as_much_as_paces_were_seen_to_last() {
     let mut tracker = tracker();
     let told = |tracker: &mut Dispatcher, number: u64, millis: u64, percent: u32| {
-        let speed = SpeedUpdate { pace: Some(Slowdown { percent, age: Duration::ZERO }), step: None };
+        let speed = SpeedUpdate { slowdown: Some(Slowdown { percent, age: Duration::ZERO }), step: None };
         let share = ServerShare { server: key(0), speed, ..ServerShare::default() };
         tracker.note_peer_changes(at(millis), FRONT, number, vec![share]);
     };
@@ -174,7 +174,7 @@
 fn where_no_pace_is_told_nothing_is_learned() {
     let mut tracker = tracker();
     tracker.note_peer(at(0), FRONT, 1, Default::default());
-    let speed = SpeedUpdate { pace: None, step: Some(STEP * 5) };
+    let speed = SpeedUpdate { slowdown: None, step: Some(STEP * 5) };
     let share = ServerShare { server: key(0), speed, ..ServerShare::default() };
     tracker.note_peer_changes(at(1), FRONT, 2, vec![share]);
     assert!(tracker.reports(at(2)).iter().all(|report| report.time_factor.is_none()));
--- a/crates/jobs/src/item_run.rs
+++ b/crates/jobs/src/item_run.rs
@@ -120,7 +120,7 @@
     let mut framer = EventFramer::default();
     loop {
         let Ok(frame) = tokio::time::timeout(SILENCE, incoming.frame()).await else {
-            exchange.fail(Ending::Silent);
+            exchange.fail(Ending::Unresponsive);
             return (RunEnd::Interrupted, "no_event");
         };
         let data = match frame {
--- a/crates/jobs/src/worker_context.rs
+++ b/crates/jobs/src/worker_context.rs
@@ -82,7 +82,7 @@
         D: Dialect,
     {
         let services = route.targets.iter().map(|target| &target.service);
-        let room = services.map(|service| self.shared.dispatcher().room(now, service, reserve)).sum();
+        let room = services.map(|service| self.shared.dispatcher().free_slots_of(now, service, reserve)).sum();
         let share = self.shared.dispatcher().share_of_waiting(now);
         self.starts().refill(now, room, share, 1.0 / self.worker_count().max(1) as f64);
     }
--- a/crates/jobs/tests/returned_jobs.rs
+++ b/crates/jobs/tests/returned_jobs.rs
@@ -66,7 +66,7 @@
     tokio::spawn(spool.serve(worker.owned.clone(), listener, stopped));
 
     until("one item is whole", || async {
-        let room = shared.dispatcher().room(shared.clock.now(), SERVICE, 0.0);
+        let room = shared.dispatcher().free_slots_of(shared.clock.now(), SERVICE, 0.0);
         server.seen().len() == 2 && room as usize == SLOTS - 1
     })
     .await;
--- a/crates/jobs/tests/worker_ends.rs
+++ b/crates/jobs/tests/worker_ends.rs
@@ -86,7 +86,7 @@
     let store = Arc::new(HookedStore::new(&records, fate));
     let worker = start_worker(store, &shared, WorkerRules::default()).await;
     until("one item is whole", || async {
-        let room = shared.dispatcher().room(shared.clock.now(), SERVICE, 0.0);
+        let room = shared.dispatcher().free_slots_of(shared.clock.now(), SERVICE, 0.0);
         server.seen().len() == 2 && room as usize == SLOTS - 1
     })
     .await;
--- a/crates/proxy/src/exchange.rs
+++ b/crates/proxy/src/exchange.rs
@@ -207,7 +207,7 @@
             Ok(Ok(response)) => response,
             Ok(Err(fault)) => return Err(self.broken(&fault, outgoing)),
             Err(_) => {
-                self.ending = Ending::Silent;
+                self.ending = Ending::Unresponsive;
                 return Err(AttemptEnd::new(AttemptFailure::MayHaveRun, "no_answer"));
             }
         };
@@ -243,7 +243,7 @@
         self.pieces.note(now);
         let mut dispatcher = self.shared.dispatcher();
         if self.started {
-            dispatcher.note_heard(now, &self.placement.server);
+            dispatcher.note_contact(now, &self.placement.server);
             return;
         }
         self.started = true;
--- a/crates/proxy/src/peers/known.rs
+++ b/crates/proxy/src/peers/known.rs
@@ -1,6 +1,6 @@
 //! The other nodes, and which of them may sum up what all tell.
 
-use latchwheel_core::dispatch::{holders_of, sends_heartbeat, ServerKey};
+use latchwheel_core::dispatch::{preferred_workers, sends_heartbeat, ServerKey};
 use latchwheel_core::identity::{stable_hash, NodeId};
 use latchwheel_core::permits::Coordinator;
 use std::collections::HashMap;
@@ -89,7 +89,7 @@
     /// with the nodes that run such work only.
     pub(super) fn holders(&self, server: ServerKey) -> Vec<SocketAddr> {
         let known = self.lock();
-        let holders = holders_of(server, known.deferring.keys().copied());
+        let holders = preferred_workers(server, known.deferring.keys().copied());
         holders.iter().filter_map(|holder| known.deferring.get(holder)).copied().collect()
     }
 
--- a/crates/proxy/src/peers/messages.rs
+++ b/crates/proxy/src/peers/messages.rs
@@ -18,9 +18,9 @@
 
 fn speed_of(message: &v1::ServerShare) -> SpeedUpdate {
     let age = Duration::from_millis(message.pace_age_ms.into());
-    let pace = (message.pace_percent > 0).then_some(Slowdown { percent: message.pace_percent, age });
+    let slowdown = (message.pace_percent > 0).then_some(Slowdown { percent: message.pace_percent, age });
     let step = Duration::from_micros(message.step_us.into());
-    SpeedUpdate { pace, step: (!step.is_zero()).then_some(step) }
+    SpeedUpdate { slowdown, step: (!step.is_zero()).then_some(step) }
 }
 
 pub(super) fn queue_of(message: &v1::RouteQueue) -> RouteQueue {
@@ -39,8 +39,8 @@
         prompt_tokens: share.prompt_tokens,
         suspect: share.suspect,
         failing: share.failing,
-        pace_percent: share.speed.pace.map_or(0, |pace| pace.percent),
-        pace_age_ms: share.speed.pace.map_or(0, |pace| bounded(pace.age.as_millis())),
+        pace_percent: share.speed.slowdown.map_or(0, |slowdown| slowdown.percent),
+        pace_age_ms: share.speed.slowdown.map_or(0, |slowdown| bounded(slowdown.age.as_millis())),
         step_us: share.speed.step.map_or(0, |step| bounded(step.as_micros())),
     }
 }
--- a/crates/proxy/src/resumable.rs
+++ b/crates/proxy/src/resumable.rs
@@ -102,7 +102,7 @@
         let is_noted = self.incoming.first.is_some();
         let Ok(frame) = tokio::time::timeout(limit, self.incoming.next()).await else {
             let reason = if self.context.left().is_zero() { "time_is_over" } else { "no_event" };
-            return Step::Broken(reason, Ending::Silent);
+            return Step::Broken(reason, Ending::Unresponsive);
         };
         let data = match frame {
             None if self.framer.holds_part() => return Step::Broken("ended_within_an_event", Ending::Broken),
--- a/crates/proxy/src/start_pacing.rs
+++ b/crates/proxy/src/start_pacing.rs
@@ -143,6 +143,6 @@
     }
 
     fn free_slots_of(&self, service: &str) -> f64 {
-        self.dispatcher().room(self.clock.now(), service, 0.0)
+        self.dispatcher().free_slots_of(self.clock.now(), service, 0.0)
     }
 }
--- a/crates/proxy/src/started.rs
+++ b/crates/proxy/src/started.rs
@@ -34,7 +34,7 @@
     /// [`AttemptEnd`] if the answer broke off or nothing came in `limit`.
     pub(crate) async fn with_first_frame(mut self, outgoing: &Outgoing, limit: Duration) -> Result<Self, AttemptEnd> {
         let Ok(frame) = tokio::time::timeout(limit, self.response.body_mut().frame()).await else {
-            self.exchange.fail(Ending::Silent);
+            self.exchange.fail(Ending::Unresponsive);
             return Err(AttemptEnd { failure: AttemptFailure::MayHaveRun, reason: "no_event" });
         };
         if let Some(Err(_)) = frame {
--- a/crates/proxy/tests/placements.rs
+++ b/crates/proxy/tests/placements.rs
@@ -135,7 +135,7 @@
     let held_since = Instant::now();
     // Servers that say something are not silent.
     while held_since.elapsed() < Duration::from_millis(1200) {
-        shared.dispatcher().note_heard(shared.clock.now(), "one");
+        shared.dispatcher().note_contact(shared.clock.now(), "one");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     let held = held_since.elapsed();
--- a/crates/proxy/tests/second_attempts.rs
+++ b/crates/proxy/tests/second_attempts.rs
@@ -60,7 +60,7 @@
     }
 
     fn tell_pace(&self) {
-        let load = ServerLoad { running: 0, waiting: 0, slots: 8, pace: Some(100) };
+        let load = ServerLoad { running: 0, waiting: 0, slots: 8, slowdown: Some(100) };
         for server in [&self.first, &self.second] {
             self.shared.dispatcher().note_load(self.shared.clock.now(), &server.name, load);
         }
--- a/crates/proxy/tests/turns.rs
+++ b/crates/proxy/tests/turns.rs
@@ -185,7 +185,7 @@
 async fn hear(keeper: Arc<Shared<TestDialect>>, front: Arc<Shared<TestDialect>>) {
     for news in 1.. {
         front.dispatcher().set_waiting(news);
-        keeper.dispatcher().note_heard(keeper.clock.now(), "one");
+        keeper.dispatcher().note_contact(keeper.clock.now(), "one");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
