--- a/crates/core/src/dispatch/cost.rs
+++ b/crates/core/src/dispatch/cost.rs
@@ -9,7 +9,7 @@
 /// Weight of a new measurement in a running mean.
 const MEAN_WEIGHT: f64 = 0.05;
 /// Prompts shorter than this tell too little of the speed of reading.
-const MEASURED_TOKENS: u32 = 1000;
+const MIN_MEASURED_TOKENS: u32 = 1000;
 /// Assumed until measured: seconds to read a prompt token.
 const INITIAL_TOKEN_SECONDS: f64 = 0.000_02;
 /// Assumed until measured: seconds that a request holds a slot.
@@ -70,7 +70,7 @@
     /// Seconds between two pieces of an answer at the usual pace, once measured.
     step_seconds: Option<f64>,
     /// For how long told paces hold; `None` where no server tells its pace.
-    pub(super) pace_trust: Option<SlowdownValidity>,
+    pub(super) slowdown_validity: Option<SlowdownValidity>,
 }
 
 impl Default for ServiceCost {
@@ -79,7 +79,7 @@
             token_seconds: INITIAL_TOKEN_SECONDS,
             service_seconds: INITIAL_SERVICE_SECONDS,
             step_seconds: None,
-            pace_trust: None,
+            slowdown_validity: None,
         }
     }
 }
@@ -96,7 +96,7 @@
     }
 
     pub(super) fn note_first_piece(&mut self, time: Duration, uncached: u32) {
-        if uncached >= MEASURED_TOKENS {
+        if uncached >= MIN_MEASURED_TOKENS {
             let measured = time.as_secs_f64() / f64::from(uncached);
             // The first piece waits for other work too: the least is nearest.
             let bounded = measured.min(self.token_seconds * 2.0);
--- a/crates/core/src/dispatch/deferrable.rs
+++ b/crates/core/src/dispatch/deferrable.rs
@@ -12,7 +12,7 @@
 /// Time in which other nodes hear of what was started. Longer ones leave slots
 /// unused, with shorter ones more runs are broken off (tests/deferrable.rs
 /// prints both).
-const HEARING_TIME: Duration = Duration::from_millis(450);
+const REPORT_DELAY: Duration = Duration::from_millis(450);
 /// Share of every server's slots that new work leaves to urgent requests.
 const EARLY_RESERVE: f64 = 0.12;
 /// The share that work leaves which is in danger of being late: some, since a
@@ -44,19 +44,19 @@
 }
 
 impl StartBudget {
-    /// Time passed; there is `room` for so many runs, of which this node may
+    /// Time passed; there is `free_slots` for so many runs, of which this node may
     /// take a `share` of 0 to 1 by what others told. After a pause they may
     /// have work too that isn't heard of yet: then `even` is the share, the one
     /// of a node of equals.
-    pub fn refill(&mut self, now: Instant, room: f64, share: f64, even: f64) {
+    pub fn refill(&mut self, now: Instant, free_slots: f64, share: f64, even: f64) {
         let passed = self.filled_at.map_or(Duration::MAX, |at| now.since(at));
         self.filled_at = Some(now);
-        if passed > HEARING_TIME {
+        if passed > REPORT_DELAY {
             self.resumed_at = now;
         }
-        let heard = now.since(self.resumed_at) >= HEARING_TIME;
-        let share = (room * if heard { share } else { share.min(even) }).max(1.0);
-        let gained = share * passed.min(HEARING_TIME).as_secs_f64() / HEARING_TIME.as_secs_f64();
+        let has_reports = now.since(self.resumed_at) >= REPORT_DELAY;
+        let share = (free_slots * if has_reports { share } else { share.min(even) }).max(1.0);
+        let gained = share * passed.min(REPORT_DELAY).as_secs_f64() / REPORT_DELAY.as_secs_f64();
         self.allowance = (self.allowance + gained).min(share);
     }
 
@@ -107,12 +107,12 @@
 impl RecentPreemptions {
     /// Whether work may give way again at a server.
     pub fn is_due(&self, now: Instant, server: &str) -> bool {
-        self.at.get(server).is_none_or(|at| now.since(*at) >= HEARING_TIME)
+        self.at.get(server).is_none_or(|at| now.since(*at) >= REPORT_DELAY)
     }
 
     /// Work gave way at a server.
     pub fn note(&mut self, now: Instant, server: std::sync::Arc<str>) {
-        self.at.retain(|_, at| now.since(*at) < HEARING_TIME);
+        self.at.retain(|_, at| now.since(*at) < REPORT_DELAY);
         self.at.insert(server, now);
     }
 }
--- a/crates/core/src/dispatch/expectation.rs
+++ b/crates/core/src/dispatch/expectation.rs
@@ -18,10 +18,10 @@
     /// now; `None` where no server of the service tells its pace.
     pub fn expected_first_piece(&self, now: Instant, placement: &Placement, piece: FirstPiece) -> Option<Duration> {
         let server = self.servers.get(&placement.server)?;
-        let cost = self.services.get(&server.service).filter(|cost| cost.pace_trust.is_some())?;
+        let cost = self.services.get(&server.service).filter(|cost| cost.slowdown_validity.is_some())?;
         let view = self.view(now, server);
         let work = match piece {
-            FirstPiece::OfStream => view.reading(cost, placement.uncached) + view.step(cost),
+            FirstPiece::OfStream => view.prefill(cost, placement.uncached) + view.step_seconds(cost),
             FirstPiece::WholeAnswer => cost.service_seconds() * view.time_factor(cost),
         };
         Some(placement.expected_wait + Duration::from_secs_f64(work.min(3600.0)))
@@ -31,6 +31,6 @@
     pub fn note_overtaken(&mut self, now: Instant, server: &str, sent_at: Instant) {
         let Some(server) = self.servers.get_mut(server) else { return };
         server.note_overtaken(now, sent_at);
-        self.keeping.note_change(server.key);
+        self.tracked.note_change(server.key);
     }
 }
--- a/crates/core/src/dispatch/failure_rate.rs
+++ b/crates/core/src/dispatch/failure_rate.rs
@@ -8,13 +8,13 @@
 use std::time::Duration;
 
 /// Time in which the memory of outcomes falls to a third.
-const MEMORY: Duration = Duration::from_secs(5);
+const DECAY_TIME: Duration = Duration::from_secs(5);
 /// Successes that are taken for granted, so that one failure means little.
-const GRANTED_SUCCESSES: f64 = 3.0;
+const PRIOR_SUCCESSES: f64 = 3.0;
 /// Share of failures, in percent, up to which a server counts as sound.
 const TOLERATED_PERCENT: u32 = 25;
 /// Seconds by which a server that always fails is worse than any other.
-const COST: f64 = 2.0;
+const ALWAYS_FAILING_COST: f64 = 2.0;
 
 /// Outcomes at a server, old ones forgotten.
 #[derive(Clone, Copy, Debug, Default)]
@@ -27,17 +27,17 @@
 impl FailureRate {
     /// The server failed at a request, or did not.
     pub(super) fn note(&mut self, now: Instant, failed: bool) {
-        let kept = self.kept(now);
-        self.failures = self.failures * kept + f64::from(u8::from(failed));
-        self.successes = self.successes * kept + f64::from(u8::from(!failed));
+        let decay = self.decay(now);
+        self.failures = self.failures * decay + f64::from(u8::from(failed));
+        self.successes = self.successes * decay + f64::from(u8::from(!failed));
         self.noted_at = now;
     }
 
     /// Share of failures in percent; zero where it is tolerated.
     pub(super) fn percent(&self, now: Instant) -> u32 {
-        let kept = self.kept(now);
-        let failures = self.failures * kept;
-        let all = failures + self.successes * kept + GRANTED_SUCCESSES;
+        let decay = self.decay(now);
+        let failures = self.failures * decay;
+        let all = failures + self.successes * decay + PRIOR_SUCCESSES;
         let percent = (failures / all * 100.0) as u32;
         if percent > TOLERATED_PERCENT {
             percent
@@ -46,12 +46,12 @@
         }
     }
 
-    fn kept(&self, now: Instant) -> f64 {
-        (-now.since(self.noted_at).as_secs_f64() / MEMORY.as_secs_f64()).exp()
+    fn decay(&self, now: Instant) -> f64 {
+        (-now.since(self.noted_at).as_secs_f64() / DECAY_TIME.as_secs_f64()).exp()
     }
 }
 
 /// Seconds by which a server is worse that fails at so many in a hundred.
-pub(super) fn cost_of(percent: u32) -> f64 {
-    f64::from(percent.min(100)) / 100.0 * COST
+pub(super) fn failure_rate_cost(percent: u32) -> f64 {
+    f64::from(percent.min(100)) / 100.0 * ALWAYS_FAILING_COST
 }
--- a/crates/core/src/dispatch/heartbeats.rs
+++ b/crates/core/src/dispatch/heartbeats.rs
@@ -15,11 +15,11 @@
 /// Workers that each node hears at most on average, and half as many at least; all where
 /// there are no more. That a node hears none by chance has a probability of 2^-25 at
 /// most: with 25 workers, which fall into two parts.
-const HEARD_WORKERS: usize = 24;
+const WORKERS_PER_NODE: usize = 24;
 
 /// Number of parts into which the workers fall, one of which a node hears.
 pub(super) fn parts(workers: usize) -> u64 {
-    workers.div_ceil(HEARD_WORKERS).max(1) as u64
+    workers.div_ceil(WORKERS_PER_NODE).max(1) as u64
 }
 
 /// Whether one of `workers` workers tells a node directly that it lives.
--- a/crates/core/src/dispatch/mod.rs
+++ b/crates/core/src/dispatch/mod.rs
@@ -45,12 +45,12 @@
 use tracker::TrackedServers;
 
 /// Bounds on the time that a refused caller is told to wait.
-const COME_BACK_MINIMUM: Duration = Duration::from_millis(50);
-const COME_BACK_MAXIMUM: Duration = Duration::from_secs(5);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 /// Time for which a refusal counts as pressure on its service.
-const PRESSURE_TIME: Duration = Duration::from_secs(1);
+const OVERLOAD_TTL: Duration = Duration::from_secs(1);
 /// Expected times to the first token that differ less than this are equal.
-const TIE: f64 = 0.000_5;
+const TIE_SECONDS: f64 = 0.000_5;
 
 /// A request that wants a server.
 #[derive(Debug)]
@@ -136,43 +136,44 @@
     waiting: u32,
     queues: LocalQueues,
     /// This node and all that run deferrable work, if it does itself.
-    deferring: Option<(NodeId, Vec<NodeId>)>,
+    deferrable_nodes: Option<(NodeId, Vec<NodeId>)>,
     /// Identities of servers by their names among nodes.
     ids: HashMap<ServerKey, Arc<str>>,
-    keeping: TrackedServers,
+    tracked: TrackedServers,
     coverage: Coverage,
 }
 
 impl Dispatcher {
     /// Chooses the server with the soonest first token.
-    pub fn choose(&self, now: Instant, ask: &PlacementQuery<'_>) -> Choice {
-        let cost = self.services.get(ask.service).copied().unwrap_or_default();
-        let key = ask.prompt.affinity_key();
-        let affinity = key.and_then(|key| self.affinity_server(ask.service, key));
+    pub fn choose(&self, now: Instant, query: &PlacementQuery<'_>) -> Choice {
+        let cost = self.services.get(query.service).copied().unwrap_or_default();
+        let key = query.prompt.affinity_key();
+        let affinity = key.and_then(|key| self.affinity_server(query.service, key));
         let mut best: Option<(f64, f64, Placement)> = None;
-        let mut soonest = f64::INFINITY;
+        let mut shortest_wait = f64::INFINITY;
         // Where all others were asked before, one of them is asked again.
-        let avoids = !ask.avoid.is_empty() && self.ready_count(ask.service) > ask.avoid.len();
-        for (id, server) in self.sampled_servers(ask.service, key, ask.spread) {
-            if avoids && ask.avoid.contains(id) {
+        let skips_avoided = !query.avoid.is_empty() && self.ready_count(query.service) > query.avoid.len();
+        for (id, server) in self.sampled_servers(query.service, key, query.spread) {
+            if skips_avoided && query.avoid.contains(id) {
                 continue;
             }
             let view = self.view(now, server);
-            let uncached = server.uncached(now, ask.prompt, affinity.as_ref() == Some(id));
-            let wait = view.wait(&cost, ask);
-            let total = if ask.deferrable {
-                view.penalty() + view.cost_of_others()
+            let uncached = server.uncached(now, query.prompt, affinity.as_ref() == Some(id));
+            let wait = view.wait(&cost, query);
+            let cost_seconds = if query.deferrable {
+                view.penalty() + view.preference_cost()
             } else {
-                let sharing = view.sharing(&cost, ask.prompt.output_tokens);
-                wait + view.penalty() + view.prefill(&cost, uncached) + sharing
+                let contention = view.contention(&cost, query.prompt.output_tokens);
+                wait + view.penalty() + view.prefill_with_scarcity(&cost, uncached) + contention
             };
-            soonest = soonest.min(wait);
-            if wait > ask.wait_limit.as_secs_f64() {
+            shortest_wait = shortest_wait.min(wait);
+            if wait > query.wait_limit.as_secs_f64() {
                 continue;
             }
-            let order = view.spread_order(&cost, ask);
-            let better = best.as_ref().is_none_or(|(least, least_order, _)| {
-                total < least - TIE || (total < least + TIE && order < *least_order)
+            let order = view.spread_order(&cost, query);
+            let better = best.as_ref().is_none_or(|(lowest_cost, lowest_order, _)| {
+                cost_seconds < lowest_cost - TIE_SECONDS
+                    || (cost_seconds < lowest_cost + TIE_SECONDS && order < *lowest_order)
             });
             if better {
                 let placement = Placement {
@@ -181,15 +182,17 @@
                     expected_wait: Duration::from_secs_f64(wait.min(3600.0)),
                     uncached,
                     load: view.load(),
-                    deferrable: ask.deferrable,
-                    preempts: !ask.deferrable && view.preempts(),
+                    deferrable: query.deferrable,
+                    preempts: !query.deferrable && view.preempts(),
                 };
-                best = Some((total, order, placement));
+                best = Some((cost_seconds, order, placement));
             }
         }
         match best {
             Some((_, _, placement)) => Choice::Send(placement),
-            None if soonest.is_finite() => Choice::Full(retry_after(soonest - ask.wait_limit.as_secs_f64())),
+            None if shortest_wait.is_finite() => {
+                Choice::Full(retry_after(shortest_wait - query.wait_limit.as_secs_f64()))
+            }
             None => Choice::NoServer,
         }
     }
@@ -223,7 +226,7 @@
     pub fn note_sent(&mut self, now: Instant, placement: &Placement, prompt: &Prompt) {
         if let Some(server) = self.servers.get_mut(&placement.server) {
             server.note_sent(now, prompt, placement);
-            self.keeping.note_change(server.key);
+            self.tracked.note_change(server.key);
         }
     }
 
@@ -231,7 +234,7 @@
     pub fn note_first_piece(&mut self, now: Instant, placement: &Placement, time: Duration) {
         let Some(server) = self.servers.get_mut(&placement.server) else { return };
         server.note_first_piece(now, placement.uncached);
-        self.keeping.note_change(server.key);
+        self.tracked.note_change(server.key);
         let cost = self.services.entry(server.service.clone()).or_default();
         cost.note_first_piece(time, placement.uncached);
     }
@@ -256,7 +259,7 @@
     pub fn note_end(&mut self, now: Instant, placement: &Placement, ending: Ending, started: bool, time: Duration) {
         let Some(server) = self.servers.get_mut(&placement.server) else { return };
         server.note_end(now, ending, placement, started);
-        self.keeping.note_change(server.key);
+        self.tracked.note_change(server.key);
         if ending == Ending::Answered {
             let service = server.service.clone();
             self.services.entry(service).or_default().note_service_time(time);
@@ -282,7 +285,7 @@
     /// Whether requests of the service are being refused, here or elsewhere:
     /// work that can wait holds few slots meanwhile.
     pub fn is_overloaded(&self, now: Instant, service: &str) -> bool {
-        let own = self.refused_at.get(service).is_some_and(|at| now.since(*at) < PRESSURE_TIME);
+        let own = self.refused_at.get(service).is_some_and(|at| now.since(*at) < OVERLOAD_TTL);
         own || self.peers.is_overloaded_for(now, stable_hash(service.as_bytes()))
     }
 
@@ -293,11 +296,17 @@
 
     /// What this node tells others of itself.
     pub fn shares(&self, now: Instant) -> NodeShares {
-        let refused = self.refused_at.iter().filter(|(_, at)| now.since(**at) < PRESSURE_TIME);
+        let refused = self.refused_at.iter().filter(|(_, at)| now.since(**at) < OVERLOAD_TTL);
         let mut overloaded: Vec<u64> = refused.map(|(service, _)| stable_hash(service.as_bytes())).collect();
         overloaded.sort_unstable();
         let servers = self.servers.values().filter_map(|server| server.share(now)).collect();
-        NodeShares { servers, overloaded, waiting: self.waiting, queues: self.queues.told(), coverage: self.coverage }
+        NodeShares {
+            servers,
+            overloaded,
+            waiting: self.waiting,
+            queues: self.queues.to_report(),
+            coverage: self.coverage,
+        }
     }
 
     /// This node keeps so many tokens of unfinished batch work on a route.
@@ -317,14 +326,14 @@
 
     /// This node's share, 0 to 1, of the deferrable runs that wait at all nodes.
     pub fn share_of_waiting(&self, now: Instant) -> f64 {
-        let all = self.waiting.saturating_add(self.waiting_elsewhere(now));
+        let all = self.waiting.saturating_add(self.waiting_at_others(now));
         f64::from(self.waiting) / f64::from(all.max(1))
     }
 
     /// Deferrable runs that wait at other nodes. Without a sum it is reckoned from the
     /// workers that this node hears.
-    fn waiting_elsewhere(&self, now: Instant) -> u32 {
-        let workers = self.deferring.as_ref().map_or(0, |(_, all)| all.len());
+    fn waiting_at_others(&self, now: Instant) -> u32 {
+        let workers = self.deferrable_nodes.as_ref().map_or(0, |(_, all)| all.len());
         let parts = u32::try_from(heartbeats::parts(workers)).unwrap_or(u32::MAX);
         self.peers.waiting_by_sum(now).unwrap_or_else(|| self.peers.waiting_reported(now).saturating_mul(parts))
     }
@@ -346,8 +355,8 @@
     }
 
     /// Another node tells of itself; `sequence` rises with its reports.
-    pub fn note_peer(&mut self, now: Instant, from: NodeId, sequence: u64, told: NodeShares) {
-        self.peers.note(now, from, sequence, told);
+    pub fn note_peer(&mut self, now: Instant, from: NodeId, sequence: u64, report: NodeShares) {
+        self.peers.note(now, from, sequence, report);
     }
 
     /// A part of the sum over all nodes was told; `own` is what this node told
@@ -378,8 +387,8 @@
         let spread = now.since(Instant::default()).as_micros() as u64;
         let sampled_servers = self.sampled_servers(service, None, spread);
         let free = sampled_servers.map(|(_, server)| self.view(now, server).free_slots(reserve).max(0.0).floor());
-        let (servers, room) = free.fold((0_usize, 0.0), |(servers, room), free| (servers + 1, room + free));
-        room * self.ready_count(service) as f64 / servers.max(1) as f64
+        let (servers, sum) = free.fold((0_usize, 0.0), |(servers, sum), free| (servers + 1, sum + free));
+        sum * self.ready_count(service) as f64 / servers.max(1) as f64
     }
 
     /// How crowded a server is by deferrable work; `None` if it is not known.
@@ -402,5 +411,5 @@
 
 fn retry_after(seconds: f64) -> Duration {
     let time = Duration::from_secs_f64(seconds.clamp(0.0, 3600.0));
-    time.clamp(COME_BACK_MINIMUM, COME_BACK_MAXIMUM)
+    time.clamp(MIN_RETRY_AFTER, MAX_RETRY_AFTER)
 }
--- a/crates/core/src/dispatch/peers.rs
+++ b/crates/core/src/dispatch/peers.rs
@@ -19,7 +19,7 @@
 pub const REPORT_TTL: Duration = Duration::from_millis(1500);
 
 /// A keeper that is not heard for this time keeps no servers any more.
-const KEEPER_SILENCE: Duration = Duration::from_millis(600);
+const COVERAGE_TIMEOUT: Duration = Duration::from_millis(600);
 
 /// A server as nodes name it to each other: a short hash of its identity. Two
 /// servers with one key would be taken to be as loaded as both together.
@@ -164,7 +164,7 @@
         }
     }
 
-    fn take_away(&mut self, node: u64, share: &ServerShare) {
+    fn subtract(&mut self, node: u64, share: &ServerShare) {
         self.requests = self.requests.saturating_sub(share.requests);
         self.deferrable = self.deferrable.saturating_sub(share.deferrable);
         self.prompt_tokens = self.prompt_tokens.saturating_sub(share.prompt_tokens);
@@ -200,20 +200,20 @@
 
 impl PeerReports {
     /// Takes a report, unless a later one of the node came before.
-    pub(super) fn note(&mut self, now: Instant, from: NodeId, sequence: u64, told: NodeShares) {
+    pub(super) fn note(&mut self, now: Instant, from: NodeId, sequence: u64, reported: NodeShares) {
         if self.is_outdated(now, from, sequence) {
             return;
         }
-        self.queues.note(now, from.0, &told.queues);
+        self.queues.note(now, from.0, &reported.queues);
         if let Some(former) = self.reports.remove(&from.0) {
-            self.take_from_totals(from.0, &former);
+            self.subtract_from_totals(from.0, &former);
         }
         let shares: HashMap<ServerKey, ServerShare> =
-            told.servers.into_iter().map(|share| (share.server, share)).collect();
+            reported.servers.into_iter().map(|share| (share.server, share)).collect();
         for share in shares.values() {
             self.totals.entry(share.server).or_default().add(from.0, now, share);
         }
-        let (overloaded, waiting, coverage) = (told.overloaded, told.waiting, told.coverage);
+        let (overloaded, waiting, coverage) = (reported.overloaded, reported.waiting, reported.coverage);
         let report = Report { at: now, sequence, shares, overloaded, waiting, coverage };
         self.reports.insert(from.0, report);
         self.last_at = now;
@@ -231,7 +231,7 @@
         for share in changed {
             let total = self.totals.entry(share.server).or_default();
             if let Some(former) = report.shares.remove(&share.server) {
-                total.take_away(from.0, &former);
+                total.subtract(from.0, &former);
             }
             total.add(from.0, now, &share);
             if total.is_empty() {
@@ -245,15 +245,15 @@
 
     /// A node was advised to send a request to a server: it counts until the node
     /// tells of the server itself.
-    pub(super) fn note_advised(&mut self, now: Instant, from: NodeId, advised: &ServerShare) {
+    pub(super) fn note_reserved(&mut self, now: Instant, from: NodeId, reserved: &ServerShare) {
         let report = self.reports.entry(from.0).or_insert_with(|| Report::empty(now));
         let share = report
             .shares
-            .entry(advised.server)
-            .or_insert(ServerShare { server: advised.server, ..ServerShare::default() });
-        share.add(advised);
+            .entry(reserved.server)
+            .or_insert(ServerShare { server: reserved.server, ..ServerShare::default() });
+        share.add(reserved);
         self.last_at = now;
-        self.totals.entry(advised.server).or_default().add(from.0, now, advised);
+        self.totals.entry(reserved.server).or_default().add(from.0, now, reserved);
     }
 
     /// The node with most deferrable runs at a server, one of which counts no more:
@@ -276,10 +276,10 @@
         present.is_some_and(|present| sequence <= present.sequence && now.since(present.at) < REPORT_TTL)
     }
 
-    fn take_from_totals(&mut self, node: u64, report: &Report) {
+    fn subtract_from_totals(&mut self, node: u64, report: &Report) {
         for share in report.shares.values() {
             let Some(total) = self.totals.get_mut(&share.server) else { continue };
-            total.take_away(node, share);
+            total.subtract(node, share);
             if total.is_empty() {
                 self.totals.remove(&share.server);
             }
@@ -292,7 +292,7 @@
         let nodes: Vec<u64> = self.reports.iter().filter(|(_, report)| old(report)).map(|(node, _)| *node).collect();
         for node in nodes {
             if let Some(report) = self.reports.remove(&node) {
-                self.take_from_totals(node, &report);
+                self.subtract_from_totals(node, &report);
             }
         }
     }
@@ -307,9 +307,9 @@
         let Some(present) = self.sum.get_mut(sum.part) else { return };
         let mut shares: HashMap<ServerKey, ServerShare> =
             sum.shares.servers.into_iter().map(|share| (share.server, share)).collect();
-        for told in &own.servers {
-            if let Some(share) = shares.get_mut(&told.server) {
-                share.take_away(told);
+        for reported in &own.servers {
+            if let Some(share) = shares.get_mut(&reported.server) {
+                share.subtract(reported);
             }
         }
         let waiting = sum.shares.waiting.saturating_sub(own.waiting);
@@ -342,9 +342,9 @@
 
     /// Whether a node refuses requests for a service.
     pub(super) fn is_overloaded_for(&self, now: Instant, service: u64) -> bool {
-        let told = self.fresh(now).any(|report| report.overloaded.contains(&service));
+        let reported = self.fresh(now).any(|report| report.overloaded.contains(&service));
         let mut sums = self.sum.iter().flatten().filter(|part| now.since(part.at) < REPORT_TTL);
-        told || sums.any(|part| part.overloaded.contains(&service))
+        reported || sums.any(|part| part.overloaded.contains(&service))
     }
 
     /// Deferrable runs that the other nodes would start if there were room, by the last
@@ -371,19 +371,19 @@
 
     /// How well a node hears others, as it told; `Few` if it is not heard itself.
     pub(super) fn coverage_of(&self, now: Instant, node: NodeId) -> Coverage {
-        let report = self.reports.get(&node.0).filter(|report| now.since(report.at) < KEEPER_SILENCE);
+        let report = self.reports.get(&node.0).filter(|report| now.since(report.at) < COVERAGE_TIMEOUT);
         report.map_or(Coverage::Few, |report| report.coverage)
     }
 
     /// How well this node hears others: `nodes` of them, with these workers.
     pub(super) fn own_coverage(&self, now: Instant, nodes: usize, workers: &[NodeId]) -> Coverage {
-        let is_heard = |report: &Report| now.since(report.at) < KEEPER_SILENCE;
-        let heard = self.reports.values().filter(|report| is_heard(report)).count();
+        let is_recent = |report: &Report| now.since(report.at) < COVERAGE_TIMEOUT;
+        let recent = self.reports.values().filter(|report| is_recent(report)).count();
         let of_workers = workers.iter().filter_map(|worker| self.reports.get(&worker.0));
-        let heard_workers = of_workers.filter(|report| is_heard(report)).count();
-        if heard * 2 < nodes {
+        let recent_workers = of_workers.filter(|report| is_recent(report)).count();
+        if recent * 2 < nodes {
             Coverage::Few
-        } else if heard_workers * 2 < workers.len() {
+        } else if recent_workers * 2 < workers.len() {
             Coverage::Most
         } else {
             Coverage::Enough
@@ -425,13 +425,13 @@
 }
 
 impl PeerShare {
-    fn add(&mut self, share: &ServerShare, told_at: Instant) {
+    fn add(&mut self, share: &ServerShare, reported_at: Instant) {
         self.requests += share.requests;
         self.deferrable += share.deferrable;
         self.prompt_tokens = self.prompt_tokens.saturating_add(share.prompt_tokens);
         self.failing = self.failing.max(share.failing);
         if share.suspect {
-            self.suspect_at = self.suspect_at.max(Some(told_at));
+            self.suspect_at = self.suspect_at.max(Some(reported_at));
         }
     }
 }
@@ -445,7 +445,7 @@
         self.failing = self.failing.max(other.failing);
     }
 
-    fn take_away(&mut self, own: &ServerShare) {
+    fn subtract(&mut self, own: &ServerShare) {
         self.requests = self.requests.saturating_sub(own.requests);
         self.deferrable = self.deferrable.saturating_sub(own.deferrable);
         self.prompt_tokens = self.prompt_tokens.saturating_sub(own.prompt_tokens);
--- a/crates/core/src/dispatch/queues.rs
+++ b/crates/core/src/dispatch/queues.rs
@@ -13,7 +13,7 @@
 
 /// Time for which a queue counts after it was told last: a lease has run out
 /// and the jobs are loaded elsewhere by then.
-const QUEUE_MEMORY: Duration = Duration::from_secs(8);
+const QUEUE_REPORT_TTL: Duration = Duration::from_secs(8);
 
 /// A route, or a tenant's part of it, as nodes name it to each other: a hash of
 /// the names.
@@ -51,11 +51,11 @@
 impl LocalQueues {
     pub(super) fn set(&mut self, now: Instant, route: RouteKey, tokens: u64) {
         self.0.insert(route, (now, tokens));
-        self.0.retain(|_, (at, tokens)| *tokens > 0 || now.since(*at) < QUEUE_MEMORY);
+        self.0.retain(|_, (at, tokens)| *tokens > 0 || now.since(*at) < QUEUE_REPORT_TTL);
     }
 
     /// The queues to tell, ordered by route.
-    pub(super) fn told(&self) -> Vec<RouteQueue> {
+    pub(super) fn to_report(&self) -> Vec<RouteQueue> {
         self.0.iter().map(|(route, (_, tokens))| RouteQueue { route: *route, tokens: *tokens }).collect()
     }
 }
@@ -67,13 +67,13 @@
 impl ReportedQueues {
     /// Takes what was told; routes that were not named keep what they had.
     pub(super) fn note(&mut self, now: Instant, queues: &[RouteQueue]) {
-        self.0.retain(|_, (at, _)| now.since(*at) < QUEUE_MEMORY);
+        self.0.retain(|_, (at, _)| now.since(*at) < QUEUE_REPORT_TTL);
         self.0.extend(queues.iter().map(|queue| (queue.route, (now, queue.tokens))));
     }
 
     fn fresh(&self, now: Instant) -> impl Iterator<Item = (RouteKey, u64)> + '_ {
-        let told = self.0.iter().filter(move |(_, (at, _))| now.since(*at) < QUEUE_MEMORY);
-        told.map(|(route, (_, tokens))| (*route, *tokens))
+        let reported = self.0.iter().filter(move |(_, (at, _))| now.since(*at) < QUEUE_REPORT_TTL);
+        reported.map(|(route, (_, tokens))| (*route, *tokens))
     }
 }
 
@@ -88,9 +88,9 @@
 impl PeerQueues {
     /// A node told its own queues.
     pub(super) fn note(&mut self, now: Instant, node: u64, queues: &[RouteQueue]) {
-        let told = self.nodes.entry(node).or_default();
-        told.note(now, queues);
-        if told.0.is_empty() {
+        let reported = self.nodes.entry(node).or_default();
+        reported.note(now, queues);
+        if reported.0.is_empty() {
             self.nodes.remove(&node);
         }
     }
@@ -108,8 +108,8 @@
     /// Tokens that wait on a route at other nodes. Reports of single nodes are
     /// parts of the sum: whichever tells more counts.
     pub(super) fn tokens(&self, now: Instant, route: RouteKey) -> u64 {
-        let of_route = |told: &ReportedQueues| {
-            let queues = told.fresh(now).filter(|(key, _)| *key == route);
+        let of_route = |reported: &ReportedQueues| {
+            let queues = reported.fresh(now).filter(|(key, _)| *key == route);
             queues.map(|(_, tokens)| tokens).sum::<u64>()
         };
         self.nodes.values().map(of_route).sum::<u64>().max(of_route(&self.sum))
@@ -118,7 +118,7 @@
     /// The queues of all nodes, `own` among them, ordered by route.
     pub(super) fn sum_with(&self, now: Instant, own: &[RouteQueue]) -> Vec<RouteQueue> {
         let mut sum: BTreeMap<RouteKey, u64> = own.iter().map(|queue| (queue.route, queue.tokens)).collect();
-        for (route, tokens) in self.nodes.values().flat_map(|told| told.fresh(now)) {
+        for (route, tokens) in self.nodes.values().flat_map(|reported| reported.fresh(now)) {
             *sum.entry(route).or_default() += tokens;
         }
         sum.into_iter().map(|(route, tokens)| RouteQueue { route, tokens }).collect()
--- a/crates/core/src/dispatch/server.rs
+++ b/crates/core/src/dispatch/server.rs
@@ -1,7 +1,7 @@
 //! What one node knows of one server.
 
 use super::cost::{Prompt, ServiceCost};
-use super::failure_rate::{cost_of, FailureRate};
+use super::failure_rate::{failure_rate_cost, FailureRate};
 use super::peers::{PeerShare, ServerKey, ServerShare};
 use super::slowdown::{ServerSpeed, SpeedUpdate};
 use super::{Congestion, Ending, Placement, PlacementQuery};
@@ -13,32 +13,32 @@
 use std::time::Duration;
 
 /// A told load counts in full at once and for nothing after this time.
-const TOLD_LOAD_LIFE: Duration = Duration::from_millis(800);
+const LOAD_REPORT_TTL: Duration = Duration::from_millis(800);
 /// Time for which a server that failed is avoided, doubled at each failure in
 /// a row.
-const AVOID_MINIMUM: Duration = Duration::from_millis(250);
-const AVOID_MAXIMUM: Duration = Duration::from_secs(4);
+const MIN_AVOID_TIME: Duration = Duration::from_millis(250);
+const MAX_AVOID_TIME: Duration = Duration::from_secs(4);
 /// Time for which a server that rejected a request is avoided.
-const REJECTED_PAUSE: Duration = Duration::from_millis(100);
+const REJECTION_AVOID_TIME: Duration = Duration::from_millis(100);
 /// Silence of a server with requests in progress after which it is avoided.
-const SILENCE_LIMIT: Duration = Duration::from_millis(400);
+const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_millis(400);
 /// Attempts that are overtaken in a row, while nothing is heard of their server, after
 /// which it is avoided: one may be chance.
 const OVERTAKEN_LIMIT: u32 = 2;
 /// Time in which the memory of a server's failures falls to a third.
-const FAILURE_MEMORY: Duration = Duration::from_secs(4);
+const FAILURE_DECAY_TIME: Duration = Duration::from_secs(4);
 /// Seconds by which a server is worse for each remembered failure.
 const FAILURE_COST: f64 = 0.25;
 /// Remembered failures from which on a server is suspect.
 const SUSPECT_FAILURES: f64 = 1.5;
 /// Seconds by which a server to be avoided is worse than any other.
-const AVOID_PENALTY: f64 = 100.0;
+const AVOIDED_COST: f64 = 100.0;
 /// Weight of a full server among equal ones.
-const LEAST_WEIGHT: f64 = 0.1;
+const MIN_WEIGHT: f64 = 0.1;
 /// Prefixes remembered as cached at one server.
-const PREFIX_LIMIT: usize = 512;
+const MAX_PREFIXES: usize = 512;
 /// Time after which a sent prefix isn't taken to be cached any more.
-const PREFIX_LIFE: Duration = Duration::from_secs(60);
+const PREFIX_TTL: Duration = Duration::from_secs(60);
 /// Share of a service time that a server with its last slot free adds to a
 /// first token: others may take it before this node hears of them.
 const LAST_SLOT_COST: f64 = 0.25;
@@ -47,11 +47,11 @@
 
 /// Slots that stay free where deferrable work holds all others: some urgent
 /// requests are seen late.
-const FREE_CUSHION: f64 = 2.0;
+const MIN_FREE_SLOTS: f64 = 2.0;
 
 /// Seconds by which a server is worse for deferrable work where others are asked
 /// first to give way.
-const NOT_HELD_COST: f64 = 0.05;
+const NOT_PREFERRED_COST: f64 = 0.05;
 
 /// Load that a server tells in an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -98,12 +98,12 @@
     own: u32,
     own_deferrable: u32,
     own_prefill_tokens: u32,
-    told: Option<(Instant, ServerLoad)>,
+    reported_load: Option<(Instant, ServerLoad)>,
     /// Own requests sent and ended since the load was told.
-    own_change: i64,
-    last_heard: Instant,
+    own_since_report: i64,
+    last_contact: Instant,
     /// When a request was sent while none was in progress.
-    waits_since: Instant,
+    waiting_since: Instant,
     avoid_until: Instant,
     failures_in_row: u32,
     /// Attempts in a row that others overtook while nothing was heard.
@@ -131,12 +131,12 @@
     /// Requests of all nodes there: those that the nodes count themselves, or
     /// the load that the server told just now where that is more.
     pub(super) fn load(&self) -> f64 {
-        let counted = self.counted();
-        let Some((at, load)) = self.state.told else { return counted };
+        let counted_requests = self.counted_requests();
+        let Some((at, load)) = self.state.reported_load else { return counted_requests };
         let age = self.now.since(at).as_secs_f64();
-        let trust = (1.0 - age / TOLD_LOAD_LIFE.as_secs_f64()).max(0.0);
-        let told = f64::from(load.running + load.waiting) + self.state.own_change as f64;
-        (told * trust + counted * (1.0 - trust)).max(counted)
+        let weight = (1.0 - age / LOAD_REPORT_TTL.as_secs_f64()).max(0.0);
+        let reported = f64::from(load.running + load.waiting) + self.state.own_since_report as f64;
+        (reported * weight + counted_requests * (1.0 - weight)).max(counted_requests)
     }
 
     /// Slots that are free, if a share of all stays free; may be negative.
@@ -155,7 +155,7 @@
     /// held by such work, the longer a request would wait for one to be free by
     /// itself, and the earlier that work gives way.
     pub(super) fn preempts(&self) -> bool {
-        self.free_slots(0.0) < FREE_CUSHION * f64::from(self.deferrable()) / f64::from(self.state.slots)
+        self.free_slots(0.0) < MIN_FREE_SLOTS * f64::from(self.deferrable()) / f64::from(self.state.slots)
     }
 
     /// How crowded the server is by deferrable work.
@@ -165,8 +165,8 @@
 
     /// Seconds until a request finds a slot free. To an urgent one deferrable
     /// work gives way; the other kind leaves a share of the slots free.
-    pub(super) fn wait(&self, cost: &ServiceCost, ask: &PlacementQuery<'_>) -> f64 {
-        let free = if ask.deferrable { self.free_slots(ask.reserve) } else { self.free_for_urgent(ask.reserve) };
+    pub(super) fn wait(&self, cost: &ServiceCost, query: &PlacementQuery<'_>) -> f64 {
+        let free = if query.deferrable { self.free_slots(query.reserve) } else { self.free_for_urgent(query.reserve) };
         let over = 1.0 - free;
         if over <= 0.0 {
             return 0.0;
@@ -175,7 +175,7 @@
     }
 
     /// Requests of all nodes there as they count them themselves.
-    fn counted(&self) -> f64 {
+    fn counted_requests(&self) -> f64 {
         f64::from(self.state.own + self.peers.requests)
     }
 
@@ -187,8 +187,8 @@
     /// Free slots for a node that knows what runs there now; deferrable work counts
     /// as none where `urgent` is set.
     pub(super) fn exact_free(&self, urgent: bool) -> f64 {
-        let giving_way = if urgent { f64::from(self.deferrable()) } else { 0.0 };
-        f64::from(self.state.slots) - (self.counted() - giving_way)
+        let preemptible = if urgent { f64::from(self.deferrable()) } else { 0.0 };
+        f64::from(self.state.slots) - (self.counted_requests() - preemptible)
     }
 
     /// Seconds until a request finds a slot free, for a node that knows what runs
@@ -204,36 +204,36 @@
     }
 
     /// Seconds to read the prompt behind those that were sent before.
-    pub(super) fn reading(&self, cost: &ServiceCost, uncached: u32) -> f64 {
+    pub(super) fn prefill(&self, cost: &ServiceCost, uncached: u32) -> f64 {
         let ahead = f64::from(self.state.own_prefill_tokens) + f64::from(self.peers.prompt_tokens);
         cost.prefill(ahead + f64::from(uncached)) * self.time_factor(cost)
     }
 
     /// Seconds between two pieces of an answer.
-    pub(super) fn step(&self, cost: &ServiceCost) -> f64 {
+    pub(super) fn step_seconds(&self, cost: &ServiceCost) -> f64 {
         cost.steps(1) * self.time_factor(cost)
     }
 
     /// Time that work takes here now, in parts of the usual of the service; 1 where no
     /// server of it tells its pace.
     pub(super) fn time_factor(&self, cost: &ServiceCost) -> f64 {
-        cost.pace_trust.as_ref().map_or(1.0, |trust| self.state.speed.time_factor(self.now, trust))
+        cost.slowdown_validity.as_ref().map_or(1.0, |validity| self.state.speed.time_factor(self.now, validity))
     }
 
     /// Seconds by which an answer of so many pieces takes longer here because others run
     /// beside it: the steps take their time, the more so the more slots are taken. So a
     /// slow server gets its part and not more. Zero where no server tells its pace.
-    pub(super) fn sharing(&self, cost: &ServiceCost, pieces: u32) -> f64 {
-        if cost.pace_trust.is_none() {
+    pub(super) fn contention(&self, cost: &ServiceCost, pieces: u32) -> f64 {
+        if cost.slowdown_validity.is_none() {
             return 0.0;
         }
-        let taken = (self.counted() / f64::from(self.state.slots)).min(1.0);
+        let taken = (self.counted_requests() / f64::from(self.state.slots)).min(1.0);
         cost.steps(pieces) * self.time_factor(cost) * taken
     }
 
     /// The same and the risk that others take the last slots unheard.
-    pub(super) fn prefill(&self, cost: &ServiceCost, uncached: u32) -> f64 {
-        self.reading(cost, uncached) + self.scarcity() * cost.service_seconds() * LAST_SLOT_COST
+    pub(super) fn prefill_with_scarcity(&self, cost: &ServiceCost, uncached: u32) -> f64 {
+        self.prefill(cost, uncached) + self.scarcity() * cost.service_seconds() * LAST_SLOT_COST
     }
 
     /// How scarce free slots are: 0 with ample ones, 1 with the last one. With
@@ -245,10 +245,10 @@
     }
 
     /// Orders equal servers by chance, the emptier and faster ones more often first.
-    pub(super) fn spread_order(&self, cost: &ServiceCost, ask: &PlacementQuery<'_>) -> f64 {
-        let free = self.free_slots(0.0).max(LEAST_WEIGHT);
-        let weight = if ask.deferrable { free } else { free + self.free_for_urgent(0.0).max(0.0) };
-        let hash = stable_pair_hash(u64::from(self.state.key.0), ask.spread);
+    pub(super) fn spread_order(&self, cost: &ServiceCost, query: &PlacementQuery<'_>) -> f64 {
+        let free = self.free_slots(0.0).max(MIN_WEIGHT);
+        let weight = if query.deferrable { free } else { free + self.free_for_urgent(0.0).max(0.0) };
+        let hash = stable_pair_hash(u64::from(self.state.key.0), query.spread);
         let chance = (hash as f64 + 1.0) / (u64::MAX as f64 + 2.0);
         -chance.ln() / weight * self.time_factor(cost)
     }
@@ -256,39 +256,39 @@
     /// Seconds by which the server is worse for having failed, here or at a
     /// node that heard of it later than this one.
     pub(super) fn penalty(&self) -> f64 {
-        let suspected = self.peers.suspect_at.is_some_and(|at| at > self.state.last_heard);
+        let suspected = self.peers.suspect_at.is_some_and(|at| at > self.state.last_contact);
         let failing = self.state.failure_rate.percent(self.now).max(self.peers.failing);
-        let remembered = self.state.remembered_failures(self.now) * FAILURE_COST + cost_of(failing);
-        if self.now < self.state.avoid_until || self.state.is_silent(self.now) || suspected {
-            AVOID_PENALTY + remembered
+        let failure_cost = self.state.decayed_failures(self.now) * FAILURE_COST + failure_rate_cost(failing);
+        if self.now < self.state.avoid_until || self.state.is_unresponsive(self.now) || suspected {
+            AVOIDED_COST + failure_cost
         } else {
-            remembered
+            failure_cost
         }
     }
 
     /// Whether this node avoids it.
     pub(super) fn is_avoided(&self) -> bool {
-        self.penalty() >= AVOID_PENALTY
+        self.penalty() >= AVOIDED_COST
     }
 
     /// Seconds by which a server is worse for deferrable work that other nodes
     /// run there first.
-    pub(super) fn cost_of_others(&self) -> f64 {
+    pub(super) fn preference_cost(&self) -> f64 {
         if self.state.is_preferred {
             0.0
         } else {
-            NOT_HELD_COST
+            NOT_PREFERRED_COST
         }
     }
 
     pub(super) fn report(&self, id: &Arc<str>, cost: Option<&ServiceCost>) -> ServerReport {
-        let told = cost.filter(|cost| cost.pace_trust.is_some());
+        let reporting = cost.filter(|cost| cost.slowdown_validity.is_some());
         ServerReport {
             id: id.clone(),
             own: self.state.own,
             load: self.load(),
             avoided: self.is_avoided(),
-            time_factor: told.map(|cost| self.time_factor(cost)),
+            time_factor: reporting.map(|cost| self.time_factor(cost)),
         }
     }
 }
@@ -306,10 +306,10 @@
             own: 0,
             own_deferrable: 0,
             own_prefill_tokens: 0,
-            told: None,
-            own_change: 0,
-            last_heard: Instant::default(),
-            waits_since: Instant::default(),
+            reported_load: None,
+            own_since_report: 0,
+            last_contact: Instant::default(),
+            waiting_since: Instant::default(),
             avoid_until: Instant::default(),
             failures_in_row: 0,
             overtaken_in_row: 0,
@@ -323,7 +323,7 @@
         }
     }
 
-    pub(super) fn renew(&mut self, record: &ServerRecord) {
+    pub(super) fn update(&mut self, record: &ServerRecord) {
         self.ready = true;
         self.address = record.address.clone();
         self.slots = record.slots.max(1);
@@ -344,7 +344,7 @@
     /// What this node tells others of the server; `None` if there is nothing.
     pub(super) fn share(&self, now: Instant) -> Option<ServerShare> {
         let failing = now < self.avoid_until && self.failures_in_row > 0;
-        let suspect = failing || self.is_silent(now) || self.remembered_failures(now) > SUSPECT_FAILURES;
+        let suspect = failing || self.is_unresponsive(now) || self.decayed_failures(now) > SUSPECT_FAILURES;
         let failing = self.failure_rate.percent(now);
         if self.own == 0 && !suspect && failing == 0 {
             return None;
@@ -360,34 +360,34 @@
         })
     }
 
-    fn remembered_failures(&self, now: Instant) -> f64 {
+    fn decayed_failures(&self, now: Instant) -> f64 {
         let age = now.since(self.failed_at).as_secs_f64();
-        self.failures * (-age / FAILURE_MEMORY.as_secs_f64()).exp()
+        self.failures * (-age / FAILURE_DECAY_TIME.as_secs_f64()).exp()
     }
 
-    fn is_silent(&self, now: Instant) -> bool {
-        self.own > 0 && now.since(self.last_heard.max(self.waits_since)) > SILENCE_LIMIT
+    fn is_unresponsive(&self, now: Instant) -> bool {
+        self.own > 0 && now.since(self.last_contact.max(self.waiting_since)) > UNRESPONSIVE_TIMEOUT
     }
 
     /// Prompt tokens that it must read anew.
-    pub(super) fn uncached(&self, now: Instant, prompt: &Prompt, is_home: bool) -> u32 {
-        let known = prompt
+    pub(super) fn uncached(&self, now: Instant, prompt: &Prompt, is_affinity_server: bool) -> u32 {
+        let recorded = prompt
             .prefixes()
-            .filter(|(key, _)| self.prefixes.get(key).is_some_and(|at| now.since(*at) < PREFIX_LIFE))
+            .filter(|(key, _)| self.prefixes.get(key).is_some_and(|at| now.since(*at) < PREFIX_TTL))
             .map(|(_, tokens)| tokens)
             .last()
             .unwrap_or(0);
-        let cached = if is_home { known.max(prompt.shared_tokens()) } else { known };
+        let cached = if is_affinity_server { recorded.max(prompt.shared_tokens()) } else { recorded };
         prompt.tokens() - cached.min(prompt.tokens())
     }
 
     pub(super) fn note_sent(&mut self, now: Instant, prompt: &Prompt, placement: &Placement) {
         if self.own == 0 {
-            self.waits_since = now;
+            self.waiting_since = now;
         }
         self.own += 1;
         self.own_deferrable += u32::from(placement.deferrable);
-        self.own_change += 1;
+        self.own_since_report += 1;
         self.own_prefill_tokens = self.own_prefill_tokens.saturating_add(placement.uncached);
         self.note_prefixes(now, prompt);
     }
@@ -399,7 +399,7 @@
                 self.prefix_order.push_back(key);
             }
         }
-        while self.prefix_order.len() > PREFIX_LIMIT {
+        while self.prefix_order.len() > MAX_PREFIXES {
             if let Some(oldest) = self.prefix_order.pop_front() {
                 self.prefixes.remove(&oldest);
             }
@@ -413,7 +413,7 @@
     }
 
     pub(super) fn note_contact(&mut self, now: Instant) {
-        self.last_heard = now;
+        self.last_contact = now;
         self.overtaken_in_row = 0;
     }
 
@@ -421,18 +421,18 @@
         if load.slots > 0 {
             self.slots = load.slots;
         }
-        self.told = Some((now, load));
-        self.own_change = 0;
+        self.reported_load = Some((now, load));
+        self.own_since_report = 0;
         self.note_contact(now);
     }
 
     /// An attempt ended; `started` tells whether its first piece had come.
     pub(super) fn note_end(&mut self, now: Instant, ending: Ending, placement: &Placement, started: bool) {
-        let unread = if started { 0 } else { placement.uncached };
+        let unprocessed = if started { 0 } else { placement.uncached };
         self.own = self.own.saturating_sub(1);
         self.own_deferrable = self.own_deferrable.saturating_sub(u32::from(placement.deferrable));
-        self.own_change -= 1;
-        self.own_prefill_tokens = self.own_prefill_tokens.saturating_sub(unread);
+        self.own_since_report -= 1;
+        self.own_prefill_tokens = self.own_prefill_tokens.saturating_sub(unprocessed);
         match ending {
             Ending::Answered | Ending::Failed => {
                 self.failures_in_row = 0;
@@ -442,7 +442,7 @@
             Ending::Withdrawn => {}
             Ending::Rejected => {
                 self.note_contact(now);
-                self.avoid_until = self.avoid_until.max(now + REJECTED_PAUSE);
+                self.avoid_until = self.avoid_until.max(now + REJECTION_AVOID_TIME);
             }
             Ending::Misdirected | Ending::Broken | Ending::Unresponsive => self.note_failure(now),
         }
@@ -451,7 +451,7 @@
     /// An attempt sent at that time was overtaken by one at another server. A silent server
     /// would go on drawing requests, since none of them waits until it is given up.
     pub(super) fn note_overtaken(&mut self, now: Instant, sent_at: Instant) {
-        if self.last_heard > sent_at {
+        if self.last_contact > sent_at {
             return;
         }
         self.overtaken_in_row += 1;
@@ -462,11 +462,11 @@
     }
 
     fn note_failure(&mut self, now: Instant) {
-        self.failures = self.remembered_failures(now) + 1.0;
+        self.failures = self.decayed_failures(now) + 1.0;
         self.failed_at = now;
-        let pause = AVOID_MINIMUM * 2_u32.saturating_pow(self.failures_in_row.min(8));
+        let avoid_time = MIN_AVOID_TIME * 2_u32.saturating_pow(self.failures_in_row.min(8));
         self.failures_in_row += 1;
-        self.avoid_until = now + pause.min(AVOID_MAXIMUM);
+        self.avoid_until = now + avoid_time.min(MAX_AVOID_TIME);
         self.prefixes.clear();
         self.prefix_order.clear();
     }
--- a/crates/core/src/dispatch/server_set.rs
+++ b/crates/core/src/dispatch/server_set.rs
@@ -14,8 +14,8 @@
     pub fn set_ready<'a>(&mut self, ready: impl Iterator<Item = &'a ServerRecord>) {
         let ready: Vec<&ServerRecord> = ready.collect();
         let present: HashSet<&Arc<str>> = ready.iter().map(|record| &record.id).collect();
-        let left: Vec<Arc<str>> = self.servers.keys().filter(|id| !present.contains(id)).cloned().collect();
-        left.iter().for_each(|id| self.set_draining(id));
+        let removed: Vec<Arc<str>> = self.servers.keys().filter(|id| !present.contains(id)).cloned().collect();
+        removed.iter().for_each(|id| self.set_draining(id));
         ready.into_iter().for_each(|record| self.set_one_ready(record));
     }
 
@@ -24,11 +24,11 @@
     pub fn set_one_ready(&mut self, record: &ServerRecord) {
         self.servers_version += 1;
         match self.servers.get_mut(&record.id) {
-            Some(server) => server.renew(record),
+            Some(server) => server.update(record),
             None => {
                 let mut server = ServerState::new(record);
                 server.is_preferred = self
-                    .deferring
+                    .deferrable_nodes
                     .as_ref()
                     .is_none_or(|(own, all)| is_preferred_worker(server.key, *own, all.iter().copied()));
                 self.ids.insert(server.key, record.id.clone());
@@ -58,7 +58,7 @@
 
     pub(super) fn forget(&mut self, id: &str) {
         let Some(server) = self.servers.remove(id) else { return };
-        if self.ids.get(&server.key).is_some_and(|known| **known == *id) {
+        if self.ids.get(&server.key).is_some_and(|present| **present == *id) {
             self.ids.remove(&server.key);
         }
     }
@@ -66,16 +66,16 @@
     /// This node runs deferrable work, and so do the others of `all`, which may
     /// hold this one too. Said again, it costs nothing.
     pub fn set_deferrable_nodes(&mut self, own: NodeId, all: Vec<NodeId>) {
-        let deferring = Some((own, all));
-        if self.deferring != deferring {
-            self.deferring = deferring;
-            self.mark_held();
+        let deferrable_nodes = Some((own, all));
+        if self.deferrable_nodes != deferrable_nodes {
+            self.deferrable_nodes = deferrable_nodes;
+            self.mark_preferred();
         }
     }
 
     /// Marks the servers at which this node runs deferrable work first.
-    fn mark_held(&mut self) {
-        let Some((own, all)) = &self.deferring else { return };
+    fn mark_preferred(&mut self) {
+        let Some((own, all)) = &self.deferrable_nodes else { return };
         for server in self.servers.values_mut() {
             server.is_preferred = is_preferred_worker(server.key, *own, all.iter().copied());
         }
--- a/crates/core/src/dispatch/slowdown.rs
+++ b/crates/core/src/dispatch/slowdown.rs
@@ -14,10 +14,10 @@
 const MEAN_WEIGHT: f64 = 0.05;
 /// Bounds of what is believed of one server, next to the usual: one wrong figure must
 /// not keep all work away or draw all of it.
-const FASTEST: f64 = 0.25;
-const SLOWEST: f64 = 10.0;
+const MIN_RELATIVE_TIME: f64 = 0.25;
+const MAX_RELATIVE_TIME: f64 = 10.0;
 /// Oldest told pace of each class of ages; older ones are worth nothing.
-const AGES: [Duration; 7] = [
+const AGE_CLASSES: [Duration; 7] = [
     Duration::from_millis(25),
     Duration::from_millis(50),
     Duration::from_millis(100),
@@ -28,9 +28,9 @@
 ];
 /// Squared deviations, in parts of the usual pace, that are taken to have agreed with
 /// nothing: few pairs of paces prove nothing.
-const UNPROVEN: f64 = 0.5;
+const PRIOR_SQUARES: f64 = 0.5;
 /// What is kept of former pairs at each new one: some thousand pairs count.
-const KEPT: f64 = 0.999;
+const DECAY: f64 = 0.999;
 
 /// How fast a server works, as it tells it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -54,11 +54,11 @@
 /// by the time between them. With it the belief is the best linear one.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct SlowdownValidity {
-    classes: [Agreement; AGES.len()],
+    classes: [Correlation; AGE_CLASSES.len()],
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Agreement {
+struct Correlation {
     products: f64,
     squares: f64,
 }
@@ -67,73 +67,73 @@
     /// Two paces of a server so far apart deviated so much from its mean.
     fn note(&mut self, apart: Duration, former: f64, later: f64) {
         let Some(class) = class_of(apart) else { return };
-        let agreement = &mut self.classes[class];
-        agreement.products = agreement.products * KEPT + former * later;
-        agreement.squares = agreement.squares * KEPT + (former * former + later * later) / 2.0;
+        let correlation = &mut self.classes[class];
+        correlation.products = correlation.products * DECAY + former * later;
+        correlation.squares = correlation.squares * DECAY + (former * former + later * later) / 2.0;
     }
 
     /// What a pace is worth at that age, 0 to 1.
-    fn at(&self, age: Duration) -> f64 {
+    fn weight_at(&self, age: Duration) -> f64 {
         let Some(class) = class_of(age) else { return 0.0 };
-        let agreement = &self.classes[class];
-        (agreement.products / (agreement.squares + UNPROVEN)).clamp(0.0, 1.0)
+        let correlation = &self.classes[class];
+        (correlation.products / (correlation.squares + PRIOR_SQUARES)).clamp(0.0, 1.0)
     }
 }
 
 fn class_of(age: Duration) -> Option<usize> {
-    AGES.iter().position(|oldest| age <= *oldest)
+    AGE_CLASSES.iter().position(|oldest| age <= *oldest)
 }
 
 /// The speed of one server. Of constant size, and gone with the server.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServerSpeed {
     /// The last told pace, in parts of the usual, and when it was told.
-    told: Option<(Instant, f64)>,
+    reported: Option<(Instant, f64)>,
     /// Mean of the told ones.
     mean: f64,
     /// Time that a step takes in parts of the service's, at the usual pace.
-    relative: f64,
+    relative_step: f64,
 }
 
 impl Default for ServerSpeed {
     fn default() -> Self {
-        Self { told: None, mean: 1.0, relative: 1.0 }
+        Self { reported: None, mean: 1.0, relative_step: 1.0 }
     }
 }
 
 impl ServerSpeed {
     /// The server told a pace at that time; an older one than the last changes nothing.
-    pub(super) fn note_pace(&mut self, at: Instant, percent: u32, trust: &mut SlowdownValidity) {
-        let slowdown = (f64::from(percent) / 100.0).clamp(FASTEST, SLOWEST);
-        match self.told {
+    pub(super) fn note_slowdown(&mut self, at: Instant, percent: u32, validity: &mut SlowdownValidity) {
+        let slowdown = (f64::from(percent) / 100.0).clamp(MIN_RELATIVE_TIME, MAX_RELATIVE_TIME);
+        match self.reported {
             Some((former_at, _)) if at <= former_at => return,
-            Some((former_at, former)) => trust.note(at.since(former_at), former - self.mean, slowdown - self.mean),
+            Some((former_at, former)) => validity.note(at.since(former_at), former - self.mean, slowdown - self.mean),
             None => self.mean = slowdown,
         }
         self.mean += (slowdown - self.mean) * MEAN_WEIGHT;
-        self.told = Some((at, slowdown));
+        self.reported = Some((at, slowdown));
     }
 
     /// A step took so long in parts of the service's usual one, at the pace believed.
     pub(super) fn note_step(&mut self, ratio: f64) {
-        let bounded = ratio.clamp(FASTEST, SLOWEST);
-        self.relative += (bounded - self.relative) * MEAN_WEIGHT;
+        let bounded = ratio.clamp(MIN_RELATIVE_TIME, MAX_RELATIVE_TIME);
+        self.relative_step += (bounded - self.relative_step) * MEAN_WEIGHT;
     }
 
     /// Pace in parts of the usual, as believed now.
-    pub(super) fn slowdown(&self, now: Instant, trust: &SlowdownValidity) -> f64 {
-        let Some((at, told)) = self.told else { return 1.0 };
-        self.mean + trust.at(now.since(at)) * (told - self.mean)
+    pub(super) fn slowdown(&self, now: Instant, validity: &SlowdownValidity) -> f64 {
+        let Some((at, reported)) = self.reported else { return 1.0 };
+        self.mean + validity.weight_at(now.since(at)) * (reported - self.mean)
     }
 
     /// Time that work takes here now, in parts of the usual of the service.
-    pub(super) fn time_factor(&self, now: Instant, trust: &SlowdownValidity) -> f64 {
-        (self.relative * self.slowdown(now, trust)).clamp(FASTEST, SLOWEST)
+    pub(super) fn time_factor(&self, now: Instant, validity: &SlowdownValidity) -> f64 {
+        (self.relative_step * self.slowdown(now, validity)).clamp(MIN_RELATIVE_TIME, MAX_RELATIVE_TIME)
     }
 
     /// The last told pace, for other nodes.
-    pub(super) fn told(&self, now: Instant) -> Option<Slowdown> {
-        let (at, slowdown) = self.told?;
+    pub(super) fn reported(&self, now: Instant) -> Option<Slowdown> {
+        let (at, slowdown) = self.reported?;
         Some(Slowdown { percent: (slowdown * 100.0).round() as u32, age: now.since(at) })
     }
 }
--- a/crates/core/src/dispatch/speeds.rs
+++ b/crates/core/src/dispatch/speeds.rs
@@ -7,21 +7,21 @@
 use std::time::Duration;
 
 /// Answers with fewer pieces than this tell too little of the time between them.
-const MEASURED_PIECES: u32 = 8;
+const MIN_MEASURED_PIECES: u32 = 8;
 
 impl Dispatcher {
     /// A server told its pace, or didn't.
     pub(super) fn note_reported_slowdown(&mut self, now: Instant, server: &str, percent: Option<u32>) {
         let (Some(percent), Some(server)) = (percent, self.servers.get_mut(server)) else { return };
         let cost = self.services.entry(server.service.clone()).or_default();
-        server.speed.note_pace(now, percent, cost.pace_trust.get_or_insert_default());
-        server.speed_update.slowdown = server.speed.told(now);
-        self.keeping.note_change(server.key);
+        server.speed.note_slowdown(now, percent, cost.slowdown_validity.get_or_insert_default());
+        server.speed_update.slowdown = server.speed.reported(now);
+        self.tracked.note_change(server.key);
     }
 
     /// An answer came whole, the last of `pieces` so long after the first.
     pub fn note_pieces(&mut self, now: Instant, placement: &Placement, pieces: u32, time: Duration) {
-        if pieces < MEASURED_PIECES {
+        if pieces < MIN_MEASURED_PIECES {
             return;
         }
         let Some(server) = self.servers.get_mut(&placement.server) else { return };
@@ -29,7 +29,7 @@
         server.speed_update.step = Some(step);
         let key = server.key;
         self.note_step(now, &placement.server, step);
-        self.keeping.note_change(key);
+        self.tracked.note_change(key);
     }
 
     /// A step at a server took so long. Nothing is learned where no server of the
@@ -37,31 +37,31 @@
     fn note_step(&mut self, now: Instant, server: &str, step: Duration) {
         let Some(server) = self.servers.get_mut(server) else { return };
         let Some(cost) = self.services.get_mut(&server.service) else { return };
-        let Some(trust) = cost.pace_trust else { return };
-        let at_usual_pace = step.as_secs_f64() / server.speed.slowdown(now, &trust);
-        let ratio = cost.note_step(at_usual_pace);
+        let Some(validity) = cost.slowdown_validity else { return };
+        let at_usual_speed = step.as_secs_f64() / server.speed.slowdown(now, &validity);
+        let ratio = cost.note_step(at_usual_speed);
         server.speed.note_step(ratio);
     }
 
     /// Takes what other nodes tell of the speed of servers out of their shares.
     pub(super) fn take_speed_updates(&mut self, now: Instant, shares: &mut [ServerShare]) {
         for share in shares {
-            let news = std::mem::take(&mut share.speed);
-            if news != SpeedUpdate::default() {
-                self.note_speed_news(now, share, news);
+            let update = std::mem::take(&mut share.speed);
+            if update != SpeedUpdate::default() {
+                self.note_speed_update(now, share, update);
             }
         }
     }
 
-    fn note_speed_news(&mut self, now: Instant, share: &ServerShare, news: SpeedUpdate) {
+    fn note_speed_update(&mut self, now: Instant, share: &ServerShare, update: SpeedUpdate) {
         let Some(id) = self.ids.get(&share.server).cloned() else { return };
         let Some(server) = self.servers.get_mut(&id) else { return };
-        if let Some(slowdown) = news.slowdown {
+        if let Some(slowdown) = update.slowdown {
             let cost = self.services.entry(server.service.clone()).or_default();
-            let trust = cost.pace_trust.get_or_insert_default();
-            server.speed.note_pace(now - slowdown.age, slowdown.percent, trust);
+            let validity = cost.slowdown_validity.get_or_insert_default();
+            server.speed.note_slowdown(now - slowdown.age, slowdown.percent, validity);
         }
-        if let Some(step) = news.step {
+        if let Some(step) = update.step {
             self.note_step(now, &id, step);
         }
     }
@@ -71,9 +71,9 @@
         for share in shares {
             let server = self.ids.get(&share.server).and_then(|id| self.servers.get_mut(id));
             let Some(server) = server else { continue };
-            let news = std::mem::take(&mut server.speed_update);
-            let slowdown = news.slowdown.and_then(|_| server.speed.told(now));
-            share.speed = SpeedUpdate { slowdown, step: news.step };
+            let update = std::mem::take(&mut server.speed_update);
+            let slowdown = update.slowdown.and_then(|_| server.speed.reported(now));
+            share.speed = SpeedUpdate { slowdown, step: update.step };
         }
     }
 }
--- a/crates/core/src/dispatch/tracker.rs
+++ b/crates/core/src/dispatch/tracker.rs
@@ -22,14 +22,14 @@
 
 /// Seconds by which a server is worse where deferrable work has to give way first:
 /// its worker is asked by a datagram and closes a connection.
-const DISPLACE_COST: f64 = 0.004;
+const PREEMPTION_COST: f64 = 0.004;
 
 /// Servers at whose room one look around looks. A node looks around each 150 ms, so that
 /// a round over 10,000 servers takes 3 s; up to so many servers each look sees all.
-const ROOM_STEP: usize = 512;
+const SERVERS_PER_CALL: usize = 512;
 
 /// Told to deferrable work for which there is no room.
-const DEFERRABLE_PAUSE: Duration = Duration::from_millis(100);
+const DEFERRABLE_RETRY_AFTER: Duration = Duration::from_millis(100);
 
 /// A request that asks a keeper for a server.
 #[derive(Debug)]
@@ -78,28 +78,28 @@
 #[derive(Debug, Default)]
 pub(super) struct TrackedServers {
     /// Kept servers by the hash of their service's name.
-    kept: HashMap<u64, ServerRing>,
+    rings: HashMap<u64, ServerRing>,
     /// For which keepers and servers that holds.
-    kept_for: Option<KeptFor>,
+    computed_from: Option<TrackingInputs>,
     /// Servers at which something changed that their keepers were not told.
     changed: BTreeSet<ServerKey>,
-    room_round: RoomRound,
+    free_slots_pass: FreeSlotsPass,
 }
 
 /// A round over all servers that adds up the free slots of each keeper's.
 #[derive(Debug, Default)]
-struct RoomRound {
+struct FreeSlotsPass {
     trackers: Vec<NodeId>,
     /// Servers that the round has not looked at.
     left: Vec<Arc<str>>,
-    found: Vec<(NodeId, f64)>,
+    sums: Vec<(NodeId, f64)>,
     /// What the last round found, or the first part of the first one.
-    told: Vec<(NodeId, f64)>,
+    last_sums: Vec<(NodeId, f64)>,
 }
 
 /// What decides which servers a node keeps.
 #[derive(Debug, PartialEq, Eq)]
-struct KeptFor {
+struct TrackingInputs {
     own: NodeId,
     trackers: Vec<NodeId>,
     servers_version: u64,
@@ -112,7 +112,7 @@
 }
 
 /// A server that a keeper chose.
-struct KeptChoice {
+struct TrackedChoice {
     id: Arc<str>,
     /// Seconds until a slot is free.
     wait: f64,
@@ -130,9 +130,9 @@
         return Vec::new();
     }
     let of_best = candidates.iter().filter(|(_, coverage)| *coverage == best);
-    let (deputies, others): (Vec<Coordinator>, Vec<Coordinator>) =
+    let (fallbacks, regular): (Vec<Coordinator>, Vec<Coordinator>) =
         of_best.map(|(coordinator, _)| *coordinator).partition(|coordinator| coordinator.fallback);
-    let chosen = if others.is_empty() { deputies } else { others };
+    let chosen = if regular.is_empty() { fallbacks } else { regular };
     chosen.into_iter().map(|coordinator| coordinator.node).collect()
 }
 
@@ -145,16 +145,16 @@
     /// This node is the keeper of the servers that fall to it among `trackers`. Called
     /// again while nothing changed, it looks at no server.
     pub fn set_tracked(&mut self, own: NodeId, trackers: &[NodeId]) {
-        let present = KeptFor { own, trackers: trackers.to_vec(), servers_version: self.servers_version };
-        if self.keeping.kept_for.as_ref() == Some(&present) {
+        let present = TrackingInputs { own, trackers: trackers.to_vec(), servers_version: self.servers_version };
+        if self.tracked.computed_from.as_ref() == Some(&present) {
             return;
         }
-        self.keeping.kept_for = Some(present);
-        self.keeping.kept.clear();
+        self.tracked.computed_from = Some(present);
+        self.tracked.rings.clear();
         for (id, server) in self.servers.iter().filter(|(_, server)| server.ready) {
             if tracker_of(server.key, trackers) == Some(own) {
                 let service = stable_hash(server.service.as_bytes());
-                self.keeping.kept.entry(service).or_default().insert(server.id_hash, id);
+                self.tracked.rings.entry(service).or_default().insert(server.id_hash, id);
             }
         }
     }
@@ -163,98 +163,99 @@
     /// call looks at a bounded number of servers, and gives back what the last round over
     /// all of them found: it decides only which keeper is asked first.
     pub fn free_slots_of_trackers(&mut self, now: Instant, trackers: &[NodeId]) -> Vec<(NodeId, f64)> {
-        let mut round = std::mem::take(&mut self.keeping.room_round);
-        if round.trackers != trackers {
-            round = RoomRound { trackers: trackers.to_vec(), ..RoomRound::default() };
+        let mut pass = std::mem::take(&mut self.tracked.free_slots_pass);
+        if pass.trackers != trackers {
+            pass = FreeSlotsPass { trackers: trackers.to_vec(), ..FreeSlotsPass::default() };
         }
-        if round.left.is_empty() {
+        if pass.left.is_empty() {
             let ready = self.servers.iter().filter(|(_, server)| server.ready);
-            round.left = ready.map(|(id, _)| id.clone()).collect();
-            round.found = trackers.iter().map(|tracker| (*tracker, 0.0)).collect();
+            pass.left = ready.map(|(id, _)| id.clone()).collect();
+            pass.sums = trackers.iter().map(|tracker| (*tracker, 0.0)).collect();
         }
-        let step = round.left.len().saturating_sub(ROOM_STEP);
-        for id in round.left.split_off(step) {
+        let rest = pass.left.len().saturating_sub(SERVERS_PER_CALL);
+        for id in pass.left.split_off(rest) {
             let Some(server) = self.servers.get(&id) else { continue };
             let Some(tracker) = tracker_of(server.key, trackers) else { continue };
             let free = self.view(now, server).free_for_urgent(0.0).max(0.0);
-            round.found.iter_mut().filter(|(node, _)| *node == tracker).for_each(|(_, room)| *room += free);
+            pass.sums.iter_mut().filter(|(node, _)| *node == tracker).for_each(|(_, sum)| *sum += free);
         }
-        if round.left.is_empty() || round.told.is_empty() {
-            round.told.clone_from(&round.found);
+        if pass.left.is_empty() || pass.last_sums.is_empty() {
+            pass.last_sums.clone_from(&pass.sums);
         }
-        let told = round.told.clone();
-        self.keeping.room_round = round;
-        told
+        let last_sums = pass.last_sums.clone();
+        self.tracked.free_slots_pass = pass;
+        last_sums
     }
 
     /// Advises a server to another node, and counts the request there from now on.
-    pub fn reserve_server(&mut self, now: Instant, ask: &TrackerQuery<'_>) -> TrackerReply {
-        let Some(chosen) = self.choose_kept(now, ask) else { return TrackerReply::TracksNone };
-        let KeptChoice { id, wait, uncached, preempts } = chosen;
-        if ask.deferrable && !self.has_room(now, ask) {
-            return TrackerReply::Full(DEFERRABLE_PAUSE);
+    pub fn reserve_server(&mut self, now: Instant, query: &TrackerQuery<'_>) -> TrackerReply {
+        let Some(chosen) = self.choose_tracked(now, query) else { return TrackerReply::TracksNone };
+        let TrackedChoice { id, wait, uncached, preempts } = chosen;
+        if query.deferrable && !self.leaves_reserve_free(now, query) {
+            return TrackerReply::Full(DEFERRABLE_RETRY_AFTER);
         }
-        if wait > ask.wait_limit.as_secs_f64() || (preempts && !ask.may_preempt) {
-            let displacing = if preempts { DISPLACE_COST } else { 0.0 };
-            return TrackerReply::Full(Duration::from_secs_f64((wait + displacing).min(3600.0)));
+        if wait > query.wait_limit.as_secs_f64() || (preempts && !query.may_preempt) {
+            let preemption_cost = if preempts { PREEMPTION_COST } else { 0.0 };
+            return TrackerReply::Full(Duration::from_secs_f64((wait + preemption_cost).min(3600.0)));
         }
         let Some(server) = self.servers.get_mut(&id) else { return TrackerReply::TracksNone };
-        server.note_prefixes(now, ask.prompt);
+        server.note_prefixes(now, query.prompt);
         let key = server.key;
-        let advised = ServerShare {
+        let reserved = ServerShare {
             server: key,
             requests: 1,
-            deferrable: u32::from(ask.deferrable),
+            deferrable: u32::from(query.deferrable),
             prompt_tokens: uncached,
             ..ServerShare::default()
         };
         let preempts = if preempts { self.peers.take_deferrable(now, key) } else { None };
-        self.peers.note_advised(now, ask.from, &advised);
+        self.peers.note_reserved(now, query.from, &reserved);
         TrackerReply::Send { server: key, uncached, wait: Duration::from_secs_f64(wait.min(3600.0)), preempts }
     }
 
     /// Whether deferrable work leaves enough slots free: of all kept servers together,
     /// since an urgent request may go to any of them.
-    fn has_room(&self, now: Instant, ask: &TrackerQuery<'_>) -> bool {
-        let kept = self.keeping.kept.get(&ask.service).into_iter();
-        let sampled_servers = kept.flat_map(|kept| kept.sampled_servers(None, ask.spread));
+    fn leaves_reserve_free(&self, now: Instant, query: &TrackerQuery<'_>) -> bool {
+        let rings = self.tracked.rings.get(&query.service).into_iter();
+        let sampled_servers = rings.flat_map(|ring| ring.sampled_servers(None, query.spread));
         let servers = sampled_servers.filter_map(|id| self.servers.get(id)).filter(|server| server.ready);
         let (mut free, mut slots) = (0.0, 0.0);
         for server in servers {
             free += self.view(now, server).exact_free(false).max(0.0);
             slots += f64::from(server.slots());
         }
-        free - 1.0 >= slots * ask.reserve
+        free - 1.0 >= slots * query.reserve
     }
 
     /// The kept server with the soonest first token.
-    fn choose_kept(&self, now: Instant, ask: &TrackerQuery<'_>) -> Option<KeptChoice> {
-        let kept = self.keeping.kept.get(&ask.service)?;
+    fn choose_tracked(&self, now: Instant, query: &TrackerQuery<'_>) -> Option<TrackedChoice> {
+        let ring = self.tracked.rings.get(&query.service)?;
         // A server that was removed a moment ago may be among them.
-        let first = kept.all().find_map(|id| self.servers.get(id))?;
+        let first = ring.all().find_map(|id| self.servers.get(id))?;
         let cost = self.services.get(&first.service).copied().unwrap_or_default();
-        let key = ask.prompt.affinity_key();
+        let key = query.prompt.affinity_key();
         let affinity = key.and_then(|key| self.affinity_server(&first.service, key));
-        let mut best: Option<(f64, f64, KeptChoice)> = None;
-        for id in kept.sampled_servers(key, ask.spread) {
+        let mut best: Option<(f64, f64, TrackedChoice)> = None;
+        for id in ring.sampled_servers(key, query.spread) {
             let Some(server) = self.servers.get(id).filter(|server| server.ready) else { continue };
-            let avoided = ask.avoid.contains(&server.key) && kept.len() > ask.avoid.len();
+            let avoided = query.avoid.contains(&server.key) && ring.len() > query.avoid.len();
             if avoided {
                 continue;
             }
             let view = self.view(now, server);
-            let wait = view.exact_wait(&cost, ask.deferrable);
-            let preempts = !ask.deferrable && view.is_held_by_deferrable();
-            let uncached = server.uncached(now, ask.prompt, affinity.as_ref() == Some(id));
-            let displacing = if preempts { DISPLACE_COST } else { 0.0 };
-            let sharing = view.sharing(&cost, ask.prompt.output_tokens);
-            let total = wait + view.penalty() + view.reading(&cost, uncached) + sharing + displacing;
-            let order = spread_order(&view, ask.spread);
-            let better = best.as_ref().is_none_or(|(least, least_order, _)| {
-                total < least - super::TIE || (total < least + super::TIE && order < *least_order)
+            let wait = view.exact_wait(&cost, query.deferrable);
+            let preempts = !query.deferrable && view.is_held_by_deferrable();
+            let uncached = server.uncached(now, query.prompt, affinity.as_ref() == Some(id));
+            let preemption_cost = if preempts { PREEMPTION_COST } else { 0.0 };
+            let contention = view.contention(&cost, query.prompt.output_tokens);
+            let cost_seconds = wait + view.penalty() + view.prefill(&cost, uncached) + contention + preemption_cost;
+            let order = spread_order(&view, query.spread);
+            let better = best.as_ref().is_none_or(|(lowest_cost, lowest_order, _)| {
+                cost_seconds < lowest_cost - super::TIE_SECONDS
+                    || (cost_seconds < lowest_cost + super::TIE_SECONDS && order < *lowest_order)
             });
             if better {
-                best = Some((total, order, KeptChoice { id: id.clone(), wait, uncached, preempts }));
+                best = Some((cost_seconds, order, TrackedChoice { id: id.clone(), wait, uncached, preempts }));
             }
         }
         best.map(|(_, _, chosen)| chosen)
@@ -269,7 +270,7 @@
     /// What this node does at the servers where something changed since this was
     /// asked last, for their keepers.
     pub fn take_changes(&mut self, now: Instant) -> Vec<ServerShare> {
-        let changed = std::mem::take(&mut self.keeping.changed);
+        let changed = std::mem::take(&mut self.tracked.changed);
         let shares = changed.into_iter().map(|key| {
             let state = self.ids.get(&key).and_then(|id| self.servers.get(id));
             let nothing = ServerShare { server: key, ..ServerShare::default() };
@@ -282,7 +283,7 @@
 
     /// Whether there is something to tell keepers.
     pub fn has_changes(&self) -> bool {
-        !self.keeping.changed.is_empty()
+        !self.tracked.changed.is_empty()
     }
 
     /// The keeper of the server where prompts with this prefix are kept.
--- a/crates/core/src/preemption.rs
+++ b/crates/core/src/preemption.rs
@@ -10,7 +10,7 @@
 
 /// A run that is expected to end within this time is let end: its item would wait for
 /// longer until it has another place and its prompt is read again.
-const CLOSE_TO_END: Duration = Duration::from_millis(300);
+const MIN_REMAINING_TIME: Duration = Duration::from_millis(300);
 
 /// What is known of a run that can give way.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -31,8 +31,8 @@
     /// Runs give way in falling order of this: those that are not about to end, overdue
     /// ones, those that were not cut before, the one that is due last, the latest.
     fn rank(&self, now: Instant) -> (bool, bool, bool, u64, u64) {
-        let goes_on = self.expected_end > now + CLOSE_TO_END;
-        (goes_on, self.overdue, !self.preempted_before, self.due_ms, self.number)
+        let ends_late = self.expected_end > now + MIN_REMAINING_TIME;
+        (ends_late, self.overdue, !self.preempted_before, self.due_ms, self.number)
     }
 }
 
