--- a/crates/core/tests/deferrable.rs
+++ b/crates/core/tests/deferrable.rs
@@ -184,12 +184,10 @@
         count_waiting(&nodes, &front, &mut outcome);
         let all_nodes = nodes.iter().chain([&front]);
         reports.push(all_nodes.map(|node| node.dispatcher.shares(now(step))).collect());
-        let Some(received) = reports.len().checked_sub(REPORT_STEPS).map(|step| reports[step].clone()) else {
-            continue;
-        };
+        let Some(late) = reports.len().checked_sub(REPORT_STEPS).map(|step| reports[step].clone()) else { continue };
         let all = nodes.iter_mut().chain([&mut front]);
         for (own, node) in all.enumerate() {
-            for (from, shares) in received.iter().enumerate().filter(|(from, _)| *from != own) {
+            for (from, shares) in late.iter().enumerate().filter(|(from, _)| *from != own) {
                 node.dispatcher.note_peer(now(step), NodeId(from as u64 + 1), step + 1, shares.clone());
             }
         }
