--- a/crates/core/src/dispatch/cost.rs
+++ b/crates/core/src/dispatch/cost.rs
@@ -1,35 +1,33 @@
-//! Prompts, and what their work is expected to cost at a service.
-//!
-//! Speeds are measured from answers; nothing is taken from a description.
+//! Prompts, and the expected cost of running them at a service, estimated from earlier answers.
 
 use super::slowdown::SlowdownValidity;
 use crate::identity::stable_pair_hash;
 use std::time::Duration;
 
-/// Weight of a new measurement in a running mean.
+/// Weight of a new measurement in an exponential moving average.
 const MEAN_WEIGHT: f64 = 0.05;
-/// Prompts shorter than this tell too little of the speed of reading.
+/// Shortest uncached prompt, in tokens, that updates the prefill speed.
 const MIN_MEASURED_TOKENS: u32 = 1000;
-/// Assumed until measured: seconds to read a prompt token.
+/// Initial estimate: seconds to prefill one prompt token.
 const INITIAL_TOKEN_SECONDS: f64 = 0.000_02;
-/// Assumed until measured: seconds that a request holds a slot.
+/// Initial estimate: seconds that a request holds a slot.
 const INITIAL_SERVICE_SECONDS: f64 = 0.1;
 
-/// A part of a prompt.
+/// Part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart {
-    /// Identity of its text.
+    /// Hash that identifies the text.
     pub key: u64,
     /// Length in tokens.
     pub tokens: u32,
 }
 
-/// A prompt as parts, and the most tokens that the answer may have.
+/// Prompt in parts, and the limit on the answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Parts in order; the last one belongs to the request itself.
+    /// Parts in order; the last one belongs to this request alone.
     pub parts: Vec<PromptPart>,
-    /// Most tokens of the answer.
+    /// Maximum number of tokens of the answer.
     pub output_tokens: u32,
 }
 
@@ -39,8 +37,8 @@
         self.parts.iter().map(|part| part.tokens).sum()
     }
 
-    /// Prefixes of whole parts with their lengths in tokens, the shortest
-    /// first; each key covers all parts before it.
+    /// Returns the prefixes of whole parts with their lengths in tokens, the shortest first;
+    /// each key covers all parts up to its end.
     pub fn prefixes(&self) -> impl Iterator<Item = (u64, u32)> + '_ {
         self.parts.iter().scan((0_u64, 0_u32), |(key, tokens), part| {
             *key = stable_pair_hash(part.key, *key);
@@ -49,27 +47,27 @@
         })
     }
 
-    /// Key of the prefix that other requests share; none if there is none.
+    /// Returns the key of the prefix that other requests share, if there is one.
     pub fn affinity_key(&self) -> Option<u64> {
         let shared = self.parts.len().checked_sub(1).filter(|count| *count > 0)?;
         self.prefixes().nth(shared - 1).map(|(key, _)| key)
     }
 
-    /// Tokens of the parts that other requests share.
+    /// Returns the number of tokens of the parts that other requests share.
     pub fn shared_tokens(&self) -> u32 {
         let last = self.parts.last().map_or(0, |part| part.tokens);
         self.tokens() - last
     }
 }
 
-/// Measured costs at a service.
+/// Estimated costs of requests at a service.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServiceCost {
     token_seconds: f64,
     service_seconds: f64,
-    /// Seconds between two pieces of an answer at the usual pace, once measured.
+    /// Seconds between two pieces of an answer at the usual speed, once an answer had enough pieces.
     step_seconds: Option<f64>,
-    /// For how long told paces hold; `None` where no server tells its pace.
+    /// Validity of reported slowdowns; `None` if no server of the service reports any.
     pub(super) slowdown_validity: Option<SlowdownValidity>,
 }
 
@@ -85,12 +83,12 @@
 }
 
 impl ServiceCost {
-    /// Seconds to read that many prompt tokens.
+    /// Seconds to prefill this number of prompt tokens.
     pub(super) fn prefill(&self, tokens: f64) -> f64 {
         tokens * self.token_seconds
     }
 
-    /// Seconds that a request holds a slot.
+    /// Mean time in seconds that a request holds a slot.
     pub(super) fn service_seconds(&self) -> f64 {
         self.service_seconds
     }
@@ -98,18 +96,19 @@
     pub(super) fn note_first_piece(&mut self, time: Duration, uncached: u32) {
         if uncached >= MIN_MEASURED_TOKENS {
             let measured = time.as_secs_f64() / f64::from(uncached);
-            // The first piece waits for other work too: the least is nearest.
+            // The first piece may also have waited for other requests, so that high
+            // measurements are capped.
             let bounded = measured.min(self.token_seconds * 2.0);
             self.token_seconds += (bounded - self.token_seconds) * MEAN_WEIGHT;
         }
     }
 
-    /// Seconds that so many pieces of an answer take at the usual pace; zero until measured.
+    /// Seconds that this number of pieces takes at the usual speed; zero without an estimate.
     pub(super) fn steps(&self, pieces: u32) -> f64 {
         f64::from(pieces) * self.step_seconds.unwrap_or(0.0)
     }
 
-    /// A step took so long at the usual pace. Gives back how long that is in parts of
+    /// Records the time between two pieces, scaled to the usual speed, and returns its ratio to
     /// the mean of all servers.
     pub(super) fn note_step(&mut self, seconds: f64) -> f64 {
         let mean = self.step_seconds.get_or_insert(seconds);
--- a/crates/core/src/dispatch/expectation.rs
+++ b/crates/core/src/dispatch/expectation.rs
@@ -1,21 +1,21 @@
-//! When the first piece of an answer is expected, and servers that were overtaken.
+//! Expected time of the first piece of an answer, and servers whose attempts were overtaken.
 
 use super::{Dispatcher, Placement};
 use crate::time::Instant;
 use std::time::Duration;
 
-/// What the first piece of an answer is.
+/// Kind of the first piece of an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FirstPiece {
-    /// One of several, sent as soon as it is there.
+    /// First of several pieces of a stream.
     OfStream,
     /// The whole answer.
     WholeAnswer,
 }
 
 impl Dispatcher {
-    /// Time in which the first piece of an answer is expected of a request that is sent
-    /// now; `None` where no server of the service tells its pace.
+    /// Returns the expected time until the first piece of the answer of a request that is sent
+    /// now; `None` if no server of the service reports its slowdown.
     pub fn expected_first_piece(&self, now: Instant, placement: &Placement, piece: FirstPiece) -> Option<Duration> {
         let server = self.servers.get(&placement.server)?;
         let cost = self.services.get(&server.service).filter(|cost| cost.slowdown_validity.is_some())?;
@@ -27,7 +27,8 @@
         Some(placement.expected_wait + Duration::from_secs_f64(work.min(3600.0)))
     }
 
-    /// A request that was sent at that time was answered by another server first.
+    /// Records that another server answered a request before this server, to which it was sent
+    /// at `sent_at`.
     pub fn note_overtaken(&mut self, now: Instant, server: &str, sent_at: Instant) {
         let Some(server) = self.servers.get_mut(server) else { return };
         server.note_overtaken(now, sent_at);
--- a/crates/core/src/dispatch/failure_rate.rs
+++ b/crates/core/src/dispatch/failure_rate.rs
@@ -1,22 +1,22 @@
-//! How often a server fails at what it runs.
+//! Failure rate of a server.
 //!
-//! A server may take requests, look sound and fail at part of them. It answers
-//! such requests fast, and so looks idle and would be chosen more often. A few
-//! failures prove nothing: some requests fail at any server.
+//! A server may accept requests, appear healthy and fail part of them. It answers failed
+//! requests fast, so that it looks idle and would be selected more often. A few failures are
+//! tolerated, since some requests fail at any server.
 
 use crate::time::Instant;
 use std::time::Duration;
 
-/// Time in which the memory of outcomes falls to a third.
+/// Time constant of the exponential decay of outcomes.
 const DECAY_TIME: Duration = Duration::from_secs(5);
-/// Successes that are taken for granted, so that one failure means little.
+/// Successes added to the counted ones, so that a single failure has little effect.
 const PRIOR_SUCCESSES: f64 = 3.0;
-/// Share of failures, in percent, up to which a server counts as sound.
+/// Failure rate, in percent, up to which a server counts as healthy.
 const TOLERATED_PERCENT: u32 = 25;
-/// Seconds by which a server that always fails is worse than any other.
+/// Cost in seconds of a server that fails all requests.
 const ALWAYS_FAILING_COST: f64 = 2.0;
 
-/// Outcomes at a server, old ones forgotten.
+/// Exponentially decayed outcomes at a server.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct FailureRate {
     failures: f64,
@@ -25,7 +25,6 @@
 }
 
 impl FailureRate {
-    /// The server failed at a request, or did not.
     pub(super) fn note(&mut self, now: Instant, failed: bool) {
         let decay = self.decay(now);
         self.failures = self.failures * decay + f64::from(u8::from(failed));
@@ -33,7 +32,7 @@
         self.noted_at = now;
     }
 
-    /// Share of failures in percent; zero where it is tolerated.
+    /// Failure rate in percent; zero if it is tolerated.
     pub(super) fn percent(&self, now: Instant) -> u32 {
         let decay = self.decay(now);
         let failures = self.failures * decay;
@@ -51,7 +50,7 @@
     }
 }
 
-/// Seconds by which a server is worse that fails at so many in a hundred.
+/// Cost in seconds of a server with this failure rate.
 pub(super) fn failure_rate_cost(percent: u32) -> f64 {
     f64::from(percent.min(100)) / 100.0 * ALWAYS_FAILING_COST
 }
--- a/crates/core/src/dispatch/mod.rs
+++ b/crates/core/src/dispatch/mod.rs
@@ -1,10 +1,10 @@
-//! Choice of a server by any node that sends to all servers of a service.
+//! Selection of a server for each request. Every node can send to every server of a service.
 //!
-//! No node owns a server: each places its requests by what it knows itself.
-//! That is its own requests in progress, the load that servers tell in their
-//! answers, and the order of servers for a prompt prefix, which rendezvous
-//! hashing makes the same on all nodes. A request goes where its first token
-//! is expected soonest; one whose wait would be too long is refused at once.
+//! No node owns a server. Each node places requests by its own state: its requests in progress,
+//! the load that servers report in their responses, the reports of other nodes, and the order
+//! of servers for a prompt prefix, which rendezvous hashing makes the same on all nodes. A
+//! request goes to the server with the earliest expected first token, and is refused at once if
+//! the expected wait is too long.
 
 mod cost;
 mod deferrable;
@@ -44,114 +44,114 @@
 use std::time::Duration;
 use tracker::TrackedServers;
 
-/// Bounds on the time that a refused caller is told to wait.
+/// Bounds on the retry time that is returned with a refusal.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
-/// Time for which a refusal counts as pressure on its service.
+/// Time after a refusal during which the service counts as overloaded.
 const OVERLOAD_TTL: Duration = Duration::from_secs(1);
-/// Expected times to the first token that differ less than this are equal.
+/// Difference in seconds below which two expected times to the first token count as equal.
 const TIE_SECONDS: f64 = 0.000_5;
 
-/// A request that wants a server.
+/// Query for a server for one request.
 #[derive(Debug)]
 pub struct PlacementQuery<'a> {
-    /// Service that it goes to.
+    /// Name of the service.
     pub service: &'a str,
-    /// Its prompt.
+    /// Prompt of the request.
     pub prompt: &'a Prompt,
-    /// Servers that were asked before.
+    /// Servers of earlier attempts, skipped while other servers are ready.
     pub avoid: &'a [Arc<str>],
-    /// Longest wait for a free slot that is worth taking.
+    /// Longest acceptable wait for a free slot.
     pub wait_limit: Duration,
-    /// Share of every server's slots that must stay free, 0 to 1: batch work
-    /// leaves room for online work.
+    /// Share of each server's slots that has to stay free for online requests, 0 to 1.
     pub reserve: f64,
-    /// Any number; spreads requests among equal servers.
+    /// Number that differs between requests, to spread them over equal servers.
     pub spread: u64,
-    /// Whether it can wait and give way. Such work goes to any server with
-    /// room, so that nodes that place it at once don't all choose the emptiest.
+    /// Whether the request can wait and be preempted. Such requests go to any server with a
+    /// free slot, so that nodes that place them at the same time don't all choose the emptiest
+    /// server.
     pub deferrable: bool,
 }
 
-/// What the request is told.
+/// Result of a placement query.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Choice {
-    /// Send it to this server.
+    /// Send the request to this server.
     Send(Placement),
-    /// All servers are too busy; come back after this time.
+    /// The wait is too long at every server; retry after this time.
     Full(Duration),
-    /// There is no server of the service.
+    /// The service has no ready server.
     NoServer,
 }
 
-/// A server for a request, with the figures that decided.
+/// Server selected for a request, with the estimates at the time of the selection.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Placement {
     /// Identity of the server.
     pub server: Arc<str>,
-    /// Its address.
+    /// Address of the server.
     pub address: Arc<str>,
-    /// Expected wait for a slot.
+    /// Expected wait for a free slot.
     pub expected_wait: Duration,
-    /// Prompt tokens that are expected to be read anew.
+    /// Prompt tokens that are expected not to be in the server's prefix cache.
     pub uncached: u32,
-    /// Requests that are believed to run or wait there.
+    /// Estimated number of requests that run or wait at the server.
     pub load: f64,
-    /// Whether it can give way.
+    /// Whether the request can be preempted.
     pub deferrable: bool,
-    /// Whether deferrable work at the server is to give way to it.
+    /// Whether a deferrable run at the server has to be preempted for the request.
     pub preempts: bool,
 }
 
-/// How an attempt at a server ended.
+/// Outcome of an attempt to run a request at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// With an answer.
+    /// The server answered.
     Answered,
-    /// The server ran it and says that it failed.
+    /// The server ran the request and reported a failure.
     Failed,
-    /// It was withdrawn by this side.
+    /// This node cancelled the attempt.
     Withdrawn,
-    /// The server said that it is full or didn't run the request.
+    /// The server reported that it is full or did not run the request.
     Rejected,
-    /// Another server has the address.
+    /// A different server answered at this address.
     Misdirected,
-    /// No connection, or the connection broke.
+    /// The connection could not be opened, or it broke.
     Broken,
-    /// Nothing was heard for too long.
+    /// The server sent nothing within the timeout.
     Unresponsive,
 }
 
-/// What is known of all servers, for the choice among them.
+/// State of all servers, from which this node selects one for each request.
 #[derive(Debug, Default)]
 pub struct Dispatcher {
     servers: HashMap<Arc<str>, ServerState>,
-    /// Those that may get new work, by service.
+    /// Servers that accept new requests, by service.
     rings: HashMap<Arc<str>, ServerRing>,
-    /// Counts changes of these.
+    /// Incremented when a server is added, updated or removed.
     servers_version: u64,
     services: HashMap<Arc<str>, ServiceCost>,
     refused_at: HashMap<Arc<str>, Instant>,
     peers: PeerReports,
     waiting: u32,
     queues: LocalQueues,
-    /// This node and all that run deferrable work, if it does itself.
+    /// This node and all nodes that run deferrable work; `None` if this node runs none.
     deferrable_nodes: Option<(NodeId, Vec<NodeId>)>,
-    /// Identities of servers by their names among nodes.
+    /// Identities of servers by the keys that nodes use in messages.
     ids: HashMap<ServerKey, Arc<str>>,
     tracked: TrackedServers,
     coverage: Coverage,
 }
 
 impl Dispatcher {
-    /// Chooses the server with the soonest first token.
+    /// Selects the server with the earliest expected first token.
     pub fn choose(&self, now: Instant, query: &PlacementQuery<'_>) -> Choice {
         let cost = self.services.get(query.service).copied().unwrap_or_default();
         let key = query.prompt.affinity_key();
         let affinity = key.and_then(|key| self.affinity_server(query.service, key));
         let mut best: Option<(f64, f64, Placement)> = None;
         let mut shortest_wait = f64::INFINITY;
-        // Where all others were asked before, one of them is asked again.
+        // Servers of earlier attempts are used again once no other server is left.
         let skips_avoided = !query.avoid.is_empty() && self.ready_count(query.service) > query.avoid.len();
         for (id, server) in self.sampled_servers(query.service, key, query.spread) {
             if skips_avoided && query.avoid.contains(id) {
@@ -197,8 +197,8 @@
         }
     }
 
-    /// The place at a server that a keeper advised; `None` if this node knows that
-    /// the server takes no work, or something bad of it.
+    /// Returns the placement at a server that a tracker reserved; `None` if the server is not
+    /// ready or this node avoids it.
     pub fn place_at(
         &self,
         now: Instant,
@@ -217,12 +217,12 @@
             uncached,
             load: view.load(),
             deferrable,
-            // The keeper has seen to that.
+            // The tracker has requested the preemption.
             preempts: false,
         })
     }
 
-    /// A request was sent to a server.
+    /// Records that a request was sent to a server.
     pub fn note_sent(&mut self, now: Instant, placement: &Placement, prompt: &Prompt) {
         if let Some(server) = self.servers.get_mut(&placement.server) {
             server.note_sent(now, prompt, placement);
@@ -230,7 +230,7 @@
         }
     }
 
-    /// The first piece of the answer came after `time`.
+    /// Records that the first piece of the answer arrived `time` after the request was sent.
     pub fn note_first_piece(&mut self, now: Instant, placement: &Placement, time: Duration) {
         let Some(server) = self.servers.get_mut(&placement.server) else { return };
         server.note_first_piece(now, placement.uncached);
@@ -239,14 +239,14 @@
         cost.note_first_piece(time, placement.uncached);
     }
 
-    /// Something was heard from a server.
+    /// Records that a server sent something.
     pub fn note_contact(&mut self, now: Instant, server: &str) {
         if let Some(server) = self.servers.get_mut(server) {
             server.note_contact(now);
         }
     }
 
-    /// A server told its load.
+    /// Records the load that a server reported.
     pub fn note_load(&mut self, now: Instant, server: &str, load: ServerLoad) {
         if let Some(server) = self.servers.get_mut(server) {
             server.note_load(now, load);
@@ -254,8 +254,8 @@
         self.note_reported_slowdown(now, server, load.slowdown);
     }
 
-    /// An attempt ended `time` after it was sent; `started` tells whether its
-    /// first piece had come.
+    /// Records the end of an attempt, `time` after it was sent; `started` is set if the first
+    /// piece of the answer had arrived.
     pub fn note_end(&mut self, now: Instant, placement: &Placement, ending: Ending, started: bool, time: Duration) {
         let Some(server) = self.servers.get_mut(&placement.server) else { return };
         server.note_end(now, ending, placement, started);
@@ -269,7 +269,7 @@
         }
     }
 
-    /// What is believed of each server, for reports.
+    /// Returns the estimated state of each server, for reports.
     pub fn reports(&self, now: Instant) -> Vec<ServerReport> {
         let report = |(id, server): (&Arc<str>, &ServerState)| {
             self.view(now, server).report(id, self.services.get(&server.service))
@@ -277,24 +277,24 @@
         self.servers.iter().map(report).collect()
     }
 
-    /// A request of the service was refused for want of slots.
+    /// Records that a request of the service was refused because no slot was free.
     pub fn note_refused(&mut self, now: Instant, service: &Arc<str>) {
         self.refused_at.insert(service.clone(), now);
     }
 
-    /// Whether requests of the service are being refused, here or elsewhere:
-    /// work that can wait holds few slots meanwhile.
+    /// Whether this node or another one refused requests of the service lately. Deferrable work
+    /// then holds few slots.
     pub fn is_overloaded(&self, now: Instant, service: &str) -> bool {
         let own = self.refused_at.get(service).is_some_and(|at| now.since(*at) < OVERLOAD_TTL);
         own || self.peers.is_overloaded_for(now, stable_hash(service.as_bytes()))
     }
 
-    /// Slots of all servers of the service.
+    /// Returns the number of slots of all ready servers of a service.
     pub fn slots_of(&self, service: &str) -> u32 {
         self.of_service(service).map(|(_, server)| server.slots()).sum()
     }
 
-    /// What this node tells others of itself.
+    /// Returns the report that this node sends to other nodes.
     pub fn shares(&self, now: Instant) -> NodeShares {
         let refused = self.refused_at.iter().filter(|(_, at)| now.since(**at) < OVERLOAD_TTL);
         let mut overloaded: Vec<u64> = refused.map(|(service, _)| stable_hash(service.as_bytes())).collect();
@@ -309,80 +309,82 @@
         }
     }
 
-    /// This node keeps so many tokens of unfinished batch work on a route.
+    /// Sets the number of tokens of unfinished batch work that this node has on a route.
     pub fn set_queued_tokens(&mut self, now: Instant, route: RouteKey, tokens: u64) {
         self.queues.set(now, route, tokens);
     }
 
-    /// Tokens of unfinished batch work on a route at the other nodes.
+    /// Returns the number of tokens of unfinished batch work on a route at other nodes.
     pub fn queued_tokens_elsewhere(&self, now: Instant, route: RouteKey) -> u64 {
         self.peers.queued_tokens(now, route)
     }
 
-    /// This node would start so many deferrable runs if there were room.
+    /// Sets the number of deferrable runs that this node would start if slots were free.
     pub fn set_waiting(&mut self, runs: u32) {
         self.waiting = runs;
     }
 
-    /// This node's share, 0 to 1, of the deferrable runs that wait at all nodes.
+    /// Returns this node's share, 0 to 1, of the deferrable runs that wait at all nodes.
     pub fn share_of_waiting(&self, now: Instant) -> f64 {
         let all = self.waiting.saturating_add(self.waiting_at_others(now));
         f64::from(self.waiting) / f64::from(all.max(1))
     }
 
-    /// Deferrable runs that wait at other nodes. Without a sum it is reckoned from the
-    /// workers that this node hears.
+    /// Returns the number of deferrable runs that wait at other nodes. Without a recent sum, it
+    /// is extrapolated from the workers that report to this node directly.
     fn waiting_at_others(&self, now: Instant) -> u32 {
         let workers = self.deferrable_nodes.as_ref().map_or(0, |(_, all)| all.len());
         let parts = u32::try_from(heartbeats::parts(workers)).unwrap_or(u32::MAX);
         self.peers.waiting_by_sum(now).unwrap_or_else(|| self.peers.waiting_reported(now).saturating_mul(parts))
     }
 
-    /// Deferrable runs that wait at another node, as it told lately.
+    /// Returns the number of deferrable runs that wait at another node by its last report;
+    /// `None` without a recent one.
     pub fn waiting_at(&self, now: Instant, node: NodeId) -> Option<u32> {
         self.peers.waiting_at(now, node)
     }
 
-    /// How well another node hears others; `Few` if it is not heard itself.
+    /// Returns the coverage that another node reported; `Few` without a recent report.
     pub fn coverage_of(&self, now: Instant, node: NodeId) -> Coverage {
         self.peers.coverage_of(now, node)
     }
 
-    /// How well this node hears others: `nodes` of them, with these workers.
+    /// Recomputes the coverage of this node among `nodes` nodes and these workers, and returns
+    /// it.
     pub fn update_coverage(&mut self, now: Instant, nodes: usize, workers: &[NodeId]) -> Coverage {
         self.coverage = self.peers.own_coverage(now, nodes, workers);
         self.coverage
     }
 
-    /// Another node tells of itself; `sequence` rises with its reports.
+    /// Records the report of another node; `sequence` rises with each report of that node.
     pub fn note_peer(&mut self, now: Instant, from: NodeId, sequence: u64, report: NodeShares) {
         self.peers.note(now, from, sequence, report);
     }
 
-    /// A part of the sum over all nodes was told; `own` is what this node told
-    /// when it asked for it.
+    /// Records a part of the sum over all nodes; `own` is what this node reported when it
+    /// requested the sum.
     pub fn note_sum(&mut self, now: Instant, sum: SharesSum, own: &NodeShares) {
         self.peers.note_sum(now, sum, own);
     }
 
-    /// This node hears all others directly and uses no sum.
+    /// Drops the sum: all other nodes report to this node directly.
     pub fn forget_sum(&mut self) {
         self.peers.forget_sum();
     }
 
-    /// What all nodes do, as far as they told this one.
+    /// Returns the sum over the recent reports of all nodes, this one included.
     pub fn shares_of_all(&self, now: Instant) -> NodeShares {
         self.peers.sum_with(now, self.shares(now))
     }
 
-    /// Slots of a server that are free, if a share of all stays free; negative
-    /// where requests wait. `None` if the server is not known.
+    /// Returns the free slots of a server beyond the reserved share; negative if requests wait.
+    /// `None` if the server is unknown.
     pub fn free_slots(&self, now: Instant, server: &str, reserve: f64) -> Option<f64> {
         self.servers.get(server).map(|server| self.view(now, server).free_slots(reserve))
     }
 
-    /// Room for deferrable work at all servers of a service, in runs. Where there are
-    /// many servers it is reckoned from some, others at each time.
+    /// Returns the slots of a service that are free for deferrable work. With many servers it
+    /// is extrapolated from a sample that changes with each call.
     pub fn free_slots_of(&self, now: Instant, service: &str, reserve: f64) -> f64 {
         let spread = now.since(Instant::default()).as_micros() as u64;
         let sampled_servers = self.sampled_servers(service, None, spread);
@@ -391,12 +393,12 @@
         sum * self.ready_count(service) as f64 / servers.max(1) as f64
     }
 
-    /// How crowded a server is by deferrable work; `None` if it is not known.
+    /// Returns the congestion of a server; `None` if the server is unknown.
     pub fn congestion(&self, now: Instant, server: &str) -> Option<Congestion> {
         self.servers.get(server).map(|server| self.view(now, server).congestion())
     }
 
-    /// Share, 0 to 1, of the deferrable runs at a server that are this node's.
+    /// Returns this node's share, 0 to 1, of the deferrable runs at a server.
     pub fn own_share_of_deferrable(&self, now: Instant, server: &str) -> f64 {
         let Some(state) = self.servers.get(server) else { return 1.0 };
         let others = self.peers.at(now, state.key).deferrable;
--- a/crates/core/src/dispatch/ring.rs
+++ b/crates/core/src/dispatch/ring.rs
@@ -1,21 +1,18 @@
-//! The servers of a service in the order of their hashes, and which few of them a
-//! decision looks at.
+//! Servers of a service in the order of their hashes, and the sample of them that one decision
+//! examines.
 //!
-//! A decision that looks at all servers costs servers times requests: playing 231,396
-//! requests before a keeper of 3,300 servers (test `many_servers`) took 120 s with all
-//! looked at and 8 s so, and served as many of them at once. Here it looks at
-//! [`SAMPLE_LIMIT`] at most: those that follow the prompt's key, where its prefixes are kept and requests
-//! with the same prefix meet again, and others that differ from request to request. Of
-//! these, one has a free slot unless nearly all are taken: where one server in fifty has
-//! one, 192 drawn at random miss it in 2 of 100 cases, and then another keeper is asked.
-//! Up to so many servers all are looked at.
+//! A decision that examined all servers would cost time in proportion to their number. In a
+//! large service it examines at most [`SAMPLE_LIMIT`]: those that follow the prompt's key,
+//! where requests with the same prefix meet and find it cached, and others that differ from
+//! request to request. The sample contains a free slot unless nearly all are taken; another
+//! tracker is queried if it doesn't.
 
 use crate::identity::{stable_hash, stable_pair_hash};
 use std::sync::Arc;
 
-/// Most servers that one decision looks at.
+/// Maximum number of servers that one decision examines.
 const SAMPLE_LIMIT: usize = 256;
-/// Of these, those that follow a prompt's key.
+/// Number of servers in the sample that follow a prompt's key.
 const NEAR_KEY: usize = 64;
 
 /// Servers of one service.
@@ -50,15 +47,15 @@
         self.servers.iter().map(|(_, id)| id)
     }
 
-    /// The server where prompts with this key are kept: the first one by rendezvous
-    /// hashing of those that follow the key.
+    /// Affinity server of a prompt key: the first one by rendezvous hashing among the servers
+    /// that follow the key.
     pub(super) fn affinity_server(&self, key: u64) -> Option<&Arc<str>> {
         let near = self.window(key, NEAR_KEY);
         near.max_by_key(|(hash, _)| stable_pair_hash(*hash, key)).map(|(_, id)| id)
     }
 
-    /// The servers to look at for a request with this prompt key, if it has one;
-    /// `spread` differs from request to request. One may come twice.
+    /// Servers to examine for a request with this prompt key, if it has one; `spread` differs
+    /// from request to request. A server may occur twice.
     pub(super) fn sampled_servers(&self, key: Option<u64>, spread: u64) -> impl Iterator<Item = &Arc<str>> {
         let takes_all = self.servers.len() <= SAMPLE_LIMIT;
         let near = if takes_all || key.is_none() { 0 } else { NEAR_KEY };
@@ -67,7 +64,7 @@
         near_key.chain(others).map(|(_, id)| id)
     }
 
-    /// So many servers that follow a hash, around the end to the start.
+    /// At most `limit` servers that follow a hash in ring order.
     fn window(&self, from: u64, limit: usize) -> impl Iterator<Item = &(u64, Arc<str>)> {
         let start = self.servers.partition_point(|(hash, _)| *hash < from);
         self.servers[start..].iter().chain(&self.servers[..start]).take(limit)
--- a/crates/core/src/dispatch/server.rs
+++ b/crates/core/src/dispatch/server.rs
@@ -1,4 +1,4 @@
-//! What one node knows of one server.
+//! State of one server on one node, and the estimates made from it.
 
 use super::cost::{Prompt, ServiceCost};
 use super::failure_rate::{failure_rate_cost, FailureRate};
@@ -12,114 +12,113 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// A told load counts in full at once and for nothing after this time.
+/// Time over which the weight of a reported load falls from 1 to 0.
 const LOAD_REPORT_TTL: Duration = Duration::from_millis(800);
-/// Time for which a server that failed is avoided, doubled at each failure in
-/// a row.
+/// Time for which a server is avoided after a failure, doubled at each failure in a row.
 const MIN_AVOID_TIME: Duration = Duration::from_millis(250);
 const MAX_AVOID_TIME: Duration = Duration::from_secs(4);
 /// Time for which a server that rejected a request is avoided.
 const REJECTION_AVOID_TIME: Duration = Duration::from_millis(100);
-/// Silence of a server with requests in progress after which it is avoided.
+/// Time without any data from a server with requests in progress after which it is avoided.
 const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Attempts that are overtaken in a row, while nothing is heard of their server, after
-/// which it is avoided: one may be chance.
+/// Attempts overtaken in a row, without data from the server, after which the server is
+/// avoided.
 const OVERTAKEN_LIMIT: u32 = 2;
-/// Time in which the memory of a server's failures falls to a third.
+/// Time constant of the exponential decay of a server's failures.
 const FAILURE_DECAY_TIME: Duration = Duration::from_secs(4);
-/// Seconds by which a server is worse for each remembered failure.
+/// Cost in seconds of each failure that has not decayed.
 const FAILURE_COST: f64 = 0.25;
-/// Remembered failures from which on a server is suspect.
+/// Number of decayed failures above which a server is reported as suspect.
 const SUSPECT_FAILURES: f64 = 1.5;
-/// Seconds by which a server to be avoided is worse than any other.
+/// Cost in seconds of an avoided server, above that of any other.
 const AVOIDED_COST: f64 = 100.0;
-/// Weight of a full server among equal ones.
+/// Weight of a server without free slots in the random order of equal servers.
 const MIN_WEIGHT: f64 = 0.1;
-/// Prefixes remembered as cached at one server.
+/// Largest number of prefixes recorded as cached at one server.
 const MAX_PREFIXES: usize = 512;
-/// Time after which a sent prefix isn't taken to be cached any more.
+/// Time after which a prefix that was sent counts as evicted.
 const PREFIX_TTL: Duration = Duration::from_secs(60);
-/// Share of a service time that a server with its last slot free adds to a
-/// first token: others may take it before this node hears of them.
+/// Cost of a server with one free slot, in service times: other nodes may take the slot before
+/// their reports arrive here.
 const LAST_SLOT_COST: f64 = 0.25;
-/// A server with so many free slots costs nothing of that kind.
+/// Number of free slots at which this cost is zero.
 const AMPLE_SLOTS: f64 = 3.0;
 
-/// Slots that stay free where deferrable work holds all others: some urgent
-/// requests are seen late.
+/// Free slots kept by preemption at a server whose other slots all hold deferrable work: some
+/// online requests are reported late.
 const MIN_FREE_SLOTS: f64 = 2.0;
 
-/// Seconds by which a server is worse for deferrable work where others are asked
-/// first to give way.
+/// Cost in seconds, for deferrable work, of a server for which this node is not a preferred
+/// worker.
 const NOT_PREFERRED_COST: f64 = 0.05;
 
-/// Load that a server tells in an answer.
+/// Load that a server reports in a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ServerLoad {
     /// Requests running.
     pub running: u32,
     /// Requests waiting.
     pub waiting: u32,
-    /// Requests that it works on at a time.
+    /// Number of requests that the server runs at a time.
     pub slots: u32,
-    /// Time that work takes there at present, in percent of the usual; `None` if it
-    /// doesn't tell.
+    /// Time that work takes at the server now, in percent of the usual; `None` if the server
+    /// does not report it.
     pub slowdown: Option<u32>,
 }
 
-/// What is believed of a server, for reports.
+/// Estimated state of a server, for reports.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ServerReport {
     /// Identity.
     pub id: Arc<str>,
     /// Requests of this node in progress.
     pub own: u32,
-    /// Requests of all nodes, as estimated.
+    /// Estimated requests of all nodes.
     pub load: f64,
-    /// Whether it is avoided.
+    /// Whether this node avoids the server.
     pub avoided: bool,
-    /// Time that work takes there, in parts of the usual, as believed; `None` where no
-    /// server of the service tells its pace.
+    /// Estimated time that work takes at the server relative to the usual; `None` if no server
+    /// of the service reports its slowdown.
     pub time_factor: Option<f64>,
 }
 
-/// One server, as this node knows it by itself.
+/// State of one server, from this node's own requests and the server's responses.
 #[derive(Debug)]
 pub(super) struct ServerState {
     pub(super) service: Arc<str>,
     pub(super) address: Arc<str>,
     pub(super) ready: bool,
-    /// Whether this node runs deferrable work there first.
+    /// Whether this node is one of the preferred workers of the server.
     pub(super) is_preferred: bool,
     pub(super) key: ServerKey,
-    /// Hash of its identity, for the homes of prefixes.
+    /// Hash of the identity, for rendezvous hashing of prefixes.
     pub(super) id_hash: u64,
     slots: u32,
     own: u32,
     own_deferrable: u32,
     own_prefill_tokens: u32,
     reported_load: Option<(Instant, ServerLoad)>,
-    /// Own requests sent and ended since the load was told.
+    /// Own requests sent minus own requests ended since the load was reported.
     own_since_report: i64,
     last_contact: Instant,
-    /// When a request was sent while none was in progress.
+    /// Time at which a request was sent while none was in progress.
     waiting_since: Instant,
     avoid_until: Instant,
     failures_in_row: u32,
-    /// Attempts in a row that others overtook while nothing was heard.
+    /// Attempts in a row that were overtaken without data from the server.
     overtaken_in_row: u32,
-    /// Failures as remembered at the time of the last one.
+    /// Decayed number of failures at the time of the last one.
     failures: f64,
     failed_at: Instant,
     failure_rate: FailureRate,
     pub(super) speed: ServerSpeed,
-    /// What its keeper was not told of its speed.
+    /// Speed data that was not sent to the tracker of the server yet.
     pub(super) speed_update: SpeedUpdate,
     prefixes: HashKeyMap<u64, Instant>,
     prefix_order: VecDeque<u64>,
 }
 
-/// One server, with what other nodes tell of it.
+/// State of one server together with what other nodes reported of it.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServerView<'a> {
     pub(super) state: &'a ServerState,
@@ -128,8 +127,8 @@
 }
 
 impl ServerView<'_> {
-    /// Requests of all nodes there: those that the nodes count themselves, or
-    /// the load that the server told just now where that is more.
+    /// Estimated requests of all nodes at the server: the sum of the nodes' own counts, or the
+    /// load that the server reported lately if that is more.
     pub(super) fn load(&self) -> f64 {
         let counted_requests = self.counted_requests();
         let Some((at, load)) = self.state.reported_load else { return counted_requests };
@@ -139,32 +138,30 @@
         (reported * weight + counted_requests * (1.0 - weight)).max(counted_requests)
     }
 
-    /// Slots that are free, if a share of all stays free; may be negative.
+    /// Free slots beyond the reserved share; may be negative.
     pub(super) fn free_slots(&self, reserve: f64) -> f64 {
         (f64::from(self.state.slots) * (1.0 - reserve)).max(1.0) - self.load()
     }
 
-    /// Slots that an urgent request finds, if a share of all stays free:
-    /// deferrable work gives way to it.
+    /// Free slots for an urgent request beyond the reserved share; it can preempt deferrable
+    /// runs.
     pub(super) fn free_for_urgent(&self, reserve: f64) -> f64 {
         self.free_slots(reserve) + f64::from(self.deferrable()).min(self.load())
     }
 
-    /// Whether an urgent request that is sent now needs a slot that deferrable
-    /// work holds, or takes one of the last free ones. The more of the slots are
-    /// held by such work, the longer a request would wait for one to be free by
-    /// itself, and the earlier that work gives way.
+    /// Whether an urgent request that is sent now has to preempt a deferrable run. The more
+    /// slots deferrable runs hold, the longer the wait until one becomes free by itself, and
+    /// the more free slots are kept by preemption.
     pub(super) fn preempts(&self) -> bool {
         self.free_slots(0.0) < MIN_FREE_SLOTS * f64::from(self.deferrable()) / f64::from(self.state.slots)
     }
 
-    /// How crowded the server is by deferrable work.
     pub(super) fn congestion(&self) -> Congestion {
         Congestion::new(self.free_slots(0.0), self.deferrable())
     }
 
-    /// Seconds until a request finds a slot free. To an urgent one deferrable
-    /// work gives way; the other kind leaves a share of the slots free.
+    /// Seconds until a slot is free for a request. An urgent one can preempt deferrable runs; a
+    /// deferrable one leaves the reserve free.
     pub(super) fn wait(&self, cost: &ServiceCost, query: &PlacementQuery<'_>) -> f64 {
         let free = if query.deferrable { self.free_slots(query.reserve) } else { self.free_for_urgent(query.reserve) };
         let over = 1.0 - free;
@@ -174,36 +171,35 @@
         over * cost.service_seconds() / f64::from(self.state.slots) * self.time_factor(cost)
     }
 
-    /// Requests of all nodes there as they count them themselves.
+    /// Requests of all nodes at the server, by their own counts.
     fn counted_requests(&self) -> f64 {
         f64::from(self.state.own + self.peers.requests)
     }
 
-    /// Deferrable runs of all nodes there.
+    /// Deferrable runs of all nodes at the server.
     fn deferrable(&self) -> u32 {
         self.state.own_deferrable + self.peers.deferrable
     }
 
-    /// Free slots for a node that knows what runs there now; deferrable work counts
-    /// as none where `urgent` is set.
+    /// Free slots on the tracker of the server, whose counts are up to date; deferrable runs
+    /// count as free if `urgent` is set.
     pub(super) fn exact_free(&self, urgent: bool) -> f64 {
         let preemptible = if urgent { f64::from(self.deferrable()) } else { 0.0 };
         f64::from(self.state.slots) - (self.counted_requests() - preemptible)
     }
 
-    /// Seconds until a request finds a slot free, for a node that knows what runs
-    /// there now.
+    /// Seconds until a slot is free, on the tracker of the server.
     pub(super) fn exact_wait(&self, cost: &ServiceCost, deferrable: bool) -> f64 {
         let over = (1.0 - self.exact_free(!deferrable)).max(0.0);
         over * cost.service_seconds() / f64::from(self.state.slots) * self.time_factor(cost)
     }
 
-    /// Whether no slot is free, but deferrable work holds some.
+    /// Whether no slot is free and deferrable runs hold some of them.
     pub(super) fn is_held_by_deferrable(&self) -> bool {
         self.deferrable() > 0 && self.exact_free(false) < 1.0
     }
 
-    /// Seconds to read the prompt behind those that were sent before.
+    /// Seconds to prefill the prompt after those of the requests sent earlier.
     pub(super) fn prefill(&self, cost: &ServiceCost, uncached: u32) -> f64 {
         let ahead = f64::from(self.state.own_prefill_tokens) + f64::from(self.peers.prompt_tokens);
         cost.prefill(ahead + f64::from(uncached)) * self.time_factor(cost)
@@ -214,15 +210,15 @@
         cost.steps(1) * self.time_factor(cost)
     }
 
-    /// Time that work takes here now, in parts of the usual of the service; 1 where no
-    /// server of it tells its pace.
+    /// Estimated time that work takes at the server now, relative to the usual of the service;
+    /// 1 if no server of the service reports its slowdown.
     pub(super) fn time_factor(&self, cost: &ServiceCost) -> f64 {
         cost.slowdown_validity.as_ref().map_or(1.0, |validity| self.state.speed.time_factor(self.now, validity))
     }
 
-    /// Seconds by which an answer of so many pieces takes longer here because others run
-    /// beside it: the steps take their time, the more so the more slots are taken. So a
-    /// slow server gets its part and not more. Zero where no server tells its pace.
+    /// Seconds by which other requests at the server delay an answer with this number of
+    /// pieces. The delay grows with the share of the slots in use, which limits the load of
+    /// slow servers. Zero if no server of the service reports its slowdown.
     pub(super) fn contention(&self, cost: &ServiceCost, pieces: u32) -> f64 {
         if cost.slowdown_validity.is_none() {
             return 0.0;
@@ -231,20 +227,22 @@
         cost.steps(pieces) * self.time_factor(cost) * taken
     }
 
-    /// The same and the risk that others take the last slots unheard.
+    /// Seconds to prefill the prompt, and the cost of the risk that other nodes take the last
+    /// free slots before their reports arrive.
     pub(super) fn prefill_with_scarcity(&self, cost: &ServiceCost, uncached: u32) -> f64 {
         self.prefill(cost, uncached) + self.scarcity() * cost.service_seconds() * LAST_SLOT_COST
     }
 
-    /// How scarce free slots are: 0 with ample ones, 1 with the last one. With
-    /// ample slots servers are equal; the emptiest must not be the best, or all
-    /// nodes would choose it before they hear of each other.
+    /// Scarcity of free slots: 0 with ample ones, 1 with one left. Servers with ample slots
+    /// have equal cost, or all nodes would choose the emptiest one before they receive each
+    /// other's reports.
     fn scarcity(&self) -> f64 {
         let ample = AMPLE_SLOTS.min(f64::from(self.state.slots));
         ((ample - self.free_for_urgent(0.0)) / (ample - 1.0).max(1.0)).clamp(0.0, 2.0)
     }
 
-    /// Orders equal servers by chance, the emptier and faster ones more often first.
+    /// Random sort key for servers of equal cost; emptier and faster ones come first more
+    /// often.
     pub(super) fn spread_order(&self, cost: &ServiceCost, query: &PlacementQuery<'_>) -> f64 {
         let free = self.free_slots(0.0).max(MIN_WEIGHT);
         let weight = if query.deferrable { free } else { free + self.free_for_urgent(0.0).max(0.0) };
@@ -253,8 +251,8 @@
         -chance.ln() / weight * self.time_factor(cost)
     }
 
-    /// Seconds by which the server is worse for having failed, here or at a
-    /// node that heard of it later than this one.
+    /// Cost in seconds for failures that this node saw or other nodes reported. A report of the
+    /// server as suspect is ignored if this node had contact with the server later.
     pub(super) fn penalty(&self) -> f64 {
         let suspected = self.peers.suspect_at.is_some_and(|at| at > self.state.last_contact);
         let failing = self.state.failure_rate.percent(self.now).max(self.peers.failing);
@@ -266,13 +264,11 @@
         }
     }
 
-    /// Whether this node avoids it.
     pub(super) fn is_avoided(&self) -> bool {
         self.penalty() >= AVOIDED_COST
     }
 
-    /// Seconds by which a server is worse for deferrable work that other nodes
-    /// run there first.
+    /// Cost in seconds, for deferrable work, of a server with other preferred workers.
     pub(super) fn preference_cost(&self) -> f64 {
         if self.state.is_preferred {
             0.0
@@ -341,7 +337,7 @@
         self.slots
     }
 
-    /// What this node tells others of the server; `None` if there is nothing.
+    /// Returns what this node reports of the server; `None` if there is nothing to report.
     pub(super) fn share(&self, now: Instant) -> Option<ServerShare> {
         let failing = now < self.avoid_until && self.failures_in_row > 0;
         let suspect = failing || self.is_unresponsive(now) || self.decayed_failures(now) > SUSPECT_FAILURES;
@@ -369,7 +365,7 @@
         self.own > 0 && now.since(self.last_contact.max(self.waiting_since)) > UNRESPONSIVE_TIMEOUT
     }
 
-    /// Prompt tokens that it must read anew.
+    /// Prompt tokens that are expected not to be in the server's prefix cache.
     pub(super) fn uncached(&self, now: Instant, prompt: &Prompt, is_affinity_server: bool) -> u32 {
         let recorded = prompt
             .prefixes()
@@ -392,7 +388,7 @@
         self.note_prefixes(now, prompt);
     }
 
-    /// The shared parts of a prompt are kept here from now on.
+    /// Records the shared parts of a prompt as cached at the server.
     pub(super) fn note_prefixes(&mut self, now: Instant, prompt: &Prompt) {
         for (key, _) in prompt.prefixes().take(prompt.parts.len().saturating_sub(1)) {
             if self.prefixes.insert(key, now).is_none() {
@@ -426,7 +422,8 @@
         self.note_contact(now);
     }
 
-    /// An attempt ended; `started` tells whether its first piece had come.
+    /// Records the end of an attempt; `started` is set if the first piece of the answer had
+    /// arrived.
     pub(super) fn note_end(&mut self, now: Instant, ending: Ending, placement: &Placement, started: bool) {
         let unprocessed = if started { 0 } else { placement.uncached };
         self.own = self.own.saturating_sub(1);
@@ -448,8 +445,9 @@
         }
     }
 
-    /// An attempt sent at that time was overtaken by one at another server. A silent server
-    /// would go on drawing requests, since none of them waits until it is given up.
+    /// Records that an attempt sent at `sent_at` was overtaken by one at another server. An
+    /// unresponsive server would otherwise keep receiving requests, since none of them runs
+    /// into its timeout.
     pub(super) fn note_overtaken(&mut self, now: Instant, sent_at: Instant) {
         if self.last_contact > sent_at {
             return;
--- a/crates/core/src/dispatch/server_set.rs
+++ b/crates/core/src/dispatch/server_set.rs
@@ -1,4 +1,4 @@
-//! The servers that a node knows: which come and go, and which are looked at.
+//! Set of servers that a node can send to: additions, removals and samples.
 
 use super::ring::ServerRing;
 use super::server::ServerState;
@@ -9,8 +9,8 @@
 use std::sync::Arc;
 
 impl Dispatcher {
-    /// Takes the servers that may get new work; others are kept only as long
-    /// as requests run there.
+    /// Replaces the set of servers that accept new requests. Other servers stay only while
+    /// requests run there.
     pub fn set_ready<'a>(&mut self, ready: impl Iterator<Item = &'a ServerRecord>) {
         let ready: Vec<&ServerRecord> = ready.collect();
         let present: HashSet<&Arc<str>> = ready.iter().map(|record| &record.id).collect();
@@ -19,8 +19,7 @@
         ready.into_iter().for_each(|record| self.set_one_ready(record));
     }
 
-    /// A server may get new work. What it costs does not grow with the servers, but for
-    /// keeping their order.
+    /// Adds or updates a server that accepts new requests.
     pub fn set_one_ready(&mut self, record: &ServerRecord) {
         self.servers_version += 1;
         match self.servers.get_mut(&record.id) {
@@ -39,7 +38,7 @@
         self.rings.entry(record.service.clone()).or_default().insert(hash, &record.id);
     }
 
-    /// A server gets no new work any more.
+    /// Stops new requests to a server, and removes it if no request runs there.
     pub fn set_draining(&mut self, id: &str) {
         let Some(server) = self.servers.get_mut(id) else { return };
         self.servers_version += 1;
@@ -63,8 +62,8 @@
         }
     }
 
-    /// This node runs deferrable work, and so do the others of `all`, which may
-    /// hold this one too. Said again, it costs nothing.
+    /// Records that this node and the nodes in `all`, which may include it, run deferrable
+    /// work. Does nothing if that is unchanged.
     pub fn set_deferrable_nodes(&mut self, own: NodeId, all: Vec<NodeId>) {
         let deferrable_nodes = Some((own, all));
         if self.deferrable_nodes != deferrable_nodes {
@@ -73,7 +72,6 @@
         }
     }
 
-    /// Marks the servers at which this node runs deferrable work first.
     fn mark_preferred(&mut self) {
         let Some((own, all)) = &self.deferrable_nodes else { return };
         for server in self.servers.values_mut() {
@@ -81,17 +79,18 @@
         }
     }
 
-    /// Servers of a service that may get new work.
+    /// Returns the number of servers of a service that accept new requests.
     pub fn ready_count(&self, service: &str) -> usize {
         self.rings.get(service).map_or(0, ServerRing::len)
     }
 
-    /// Whether a server may get new work.
+    /// Whether a server accepts new requests.
     pub fn is_ready(&self, server: &str) -> bool {
         self.servers.get(server).is_some_and(|state| state.ready)
     }
 
-    /// Addresses and identities of the servers of a service.
+    /// Returns the identities and addresses of the servers of a service that accept new
+    /// requests.
     pub fn ready_of(&self, service: &str) -> Vec<(Arc<str>, Arc<str>)> {
         self.of_service(service).map(|(id, server)| (id.clone(), server.address.clone())).collect()
     }
@@ -101,7 +100,7 @@
         ring.filter_map(|id| Some((id, self.servers.get(id)?)))
     }
 
-    /// The servers of a service that are looked at for a request.
+    /// Servers of a service to examine for a request.
     pub(super) fn sampled_servers<'a>(
         &'a self,
         service: &str,
@@ -112,7 +111,7 @@
         ring.filter_map(|id| Some((id, self.servers.get(id)?)))
     }
 
-    /// The server where prompts with this prefix are kept.
+    /// Affinity server of a prompt prefix.
     pub(super) fn affinity_server(&self, service: &str, key: u64) -> Option<Arc<str>> {
         self.rings.get(service)?.affinity_server(key).cloned()
     }
