--- a/crates/core/src/dispatch/heartbeats.rs
+++ b/crates/core/src/dispatch/heartbeats.rs
@@ -1,28 +1,27 @@
-//! Which nodes a worker tells directly that it lives.
+//! Selection of the nodes to which a worker sends heartbeats directly.
 //!
-//! A front judges by the workers that it hears whether it is cut off, and hands jobs
-//! to those that it hears. For that it needs some workers, not all: telling every node
-//! of every worker would be nodes times workers, 148,000 datagrams a second where 150
-//! workers tell 986 nodes. What all workers do together is in the sums of the
+//! A front detects a partition by the workers that it receives heartbeats from, and assigns
+//! jobs to them. Some workers are enough for that: heartbeats from all workers to all nodes
+//! would grow with the product of both. The load of all workers is in the sums of the
 //! aggregators.
 //!
-//! Each node hears the workers that a hash of both names: nobody agrees on anything, a
-//! worker looks at each node once, and views that differ for a moment only cost a
-//! hello.
+//! Each node receives heartbeats from the workers that a hash of both names selects. That needs
+//! no agreement; while views differ, the only cost is a superfluous or missing heartbeat.
 
 use crate::identity::{stable_pair_hash, NodeId};
 
-/// Workers that each node hears at most on average, and half as many at least; all where
-/// there are no more. That a node hears none by chance has a probability of 2^-25 at
-/// most: with 25 workers, which fall into two parts.
+/// Mean number of workers whose heartbeats a node receives: at most this, at least half of it,
+/// and all workers if there are no more. The probability that a node receives none is at most
+/// 2^-25.
 const WORKERS_PER_NODE: usize = 24;
 
-/// Number of parts into which the workers fall, one of which a node hears.
+/// Number of parts into which the workers are divided; a node receives heartbeats from one
+/// part.
 pub(super) fn parts(workers: usize) -> u64 {
     workers.div_ceil(WORKERS_PER_NODE).max(1) as u64
 }
 
-/// Whether one of `workers` workers tells a node directly that it lives.
+/// Whether one of `workers` workers sends heartbeats to a node directly.
 pub fn sends_heartbeat(worker: NodeId, workers: usize, node: NodeId) -> bool {
     let parts = parts(workers);
     parts == 1 || stable_pair_hash(worker.0, node.0).is_multiple_of(parts)
--- a/crates/core/src/dispatch/peers.rs
+++ b/crates/core/src/dispatch/peers.rs
@@ -1,12 +1,11 @@
-//! What other nodes tell of their requests at the servers.
+//! Reports of other nodes about their requests at the servers.
 //!
-//! Each node counts its own requests exactly; the sum over all nodes is the
-//! load of a server without asking it. A report replaces the one before it
-//! from the same node and counts for nothing once it is old, so that nothing
-//! has to be taken back when a node dies.
+//! Each node counts its own requests exactly; the sum over all nodes is the load of a server. A
+//! report replaces the previous one of the same node and expires after [`REPORT_TTL`], so
+//! nothing has to be reclaimed when a node fails.
 //!
-//! Where there are too many nodes for each to tell all others, some of them,
-//! the aggregators, are told by all and answer with the sum over all nodes.
+//! In large clusters, nodes don't report to all others: they report to the aggregators, which
+//! return the sum over all nodes.
 
 use super::queues::{PeerQueues, RouteKey, RouteQueue};
 use super::slowdown::SpeedUpdate;
@@ -15,19 +14,19 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time after which a report counts for nothing.
+/// Time after which a report is ignored.
 pub const REPORT_TTL: Duration = Duration::from_millis(1500);
 
-/// A keeper that is not heard for this time keeps no servers any more.
+/// Time without a report after which a node no longer counts as covered or as a tracker.
 const COVERAGE_TIMEOUT: Duration = Duration::from_millis(600);
 
-/// A server as nodes name it to each other: a short hash of its identity. Two
-/// servers with one key would be taken to be as loaded as both together.
+/// Key of a server in messages between nodes: a short hash of the identity. Two servers with
+/// the same key are assumed to have the load of both.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerKey(pub u32);
 
 impl ServerKey {
-    /// The key of a server's identity.
+    /// Returns the key of a server's identity.
     pub fn of(id: &str) -> Self {
         Self(stable_hash(id.as_bytes()) as u32)
     }
@@ -39,51 +38,50 @@
     }
 }
 
-/// What a node does at one server.
+/// One node's requests at one server, and its observations there.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ServerShare {
-    /// The server.
+    /// Key of the server.
     pub server: ServerKey,
     /// Requests in progress.
     pub requests: u32,
-    /// Of these, requests that can give way.
+    /// Requests in progress that can be preempted.
     pub deferrable: u32,
-    /// Prompt tokens sent for which no first piece has come.
+    /// Prompt tokens of requests without a first piece of the answer yet.
     pub prompt_tokens: u32,
-    /// Whether the node hears nothing of the server any more.
+    /// Whether the node considers the server failed or unresponsive.
     pub suspect: bool,
-    /// Share of requests that the server fails at, in percent; zero if that is
-    /// no more than what is tolerated.
+    /// Percentage of requests that the server fails; zero if it is within the tolerance.
     pub failing: u32,
-    /// What the server's keeper is told of its speed; empty in reports and sums.
+    /// Speed data for the server's tracker; empty in reports and sums.
     pub speed: SpeedUpdate,
 }
 
-/// What a node tells of itself.
+/// Report of one node, or the sum of such reports.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct NodeShares {
-    /// What it does at servers.
+    /// Requests of the node, by server.
     pub servers: Vec<ServerShare>,
-    /// Hashes of services for which it refused requests lately, ordered.
+    /// Hashes of the services for which the node refused requests lately, in order.
     pub overloaded: Vec<u64>,
-    /// Deferrable runs that it would start if there were room.
+    /// Number of deferrable runs that the node would start if slots were free.
     pub waiting: u32,
-    /// Unfinished batch work that it keeps, ordered by route.
+    /// Unfinished batch work of the node, ordered by route.
     pub queues: Vec<RouteQueue>,
-    /// How well it hears others, for nodes that may sum up what all tell.
+    /// Coverage of the node, by which trackers are selected.
     pub coverage: Coverage,
 }
 
-/// How well a node hears others.
+/// How many of the other nodes and workers a node receives reports from.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Coverage {
     /// Fewer than half of the nodes.
     #[default]
     Few,
-    /// Half of the nodes or more, but fewer than half of those that run deferrable
-    /// work: what runs at servers is not known.
+    /// At least half of the nodes, but fewer than half of the workers: the load of the servers
+    /// is incomplete.
     Most,
-    /// Half of both or more.
+    /// At least half of the nodes and half of the workers.
     Enough,
 }
 
@@ -98,7 +96,7 @@
 }
 
 impl Report {
-    /// What is known of a node that told nothing yet.
+    /// State of a node that has not reported yet.
     fn empty(now: Instant) -> Self {
         Self {
             at: now,
@@ -111,7 +109,7 @@
     }
 }
 
-/// A part of the sum over all nodes, without this node itself.
+/// Part of the sum over all nodes, without this node's own share.
 #[derive(Debug)]
 struct SumPart {
     at: Instant,
@@ -120,29 +118,28 @@
     waiting: u32,
 }
 
-/// One datagram's part of the sum over all nodes.
+/// Part of the sum over all nodes that fits into one datagram.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SharesSum {
-    /// Number of parts; a server is in the one that its hash names.
+    /// Number of parts; the hash of a server selects its part.
     pub parts: usize,
-    /// Number of this part, from zero on.
+    /// Index of this part, from zero.
     pub part: usize,
-    /// What all nodes do, the asking one among them.
+    /// Sum over all nodes, including the one that requested it.
     pub shares: NodeShares,
 }
 
-/// The part of a sum that holds a server.
 fn part_of(server: ServerKey, parts: usize) -> usize {
     server.0 as usize % parts.max(1)
 }
 
-/// What all reports say of one server, added up as they come and go.
+/// Sum of all reports about one server, updated as reports arrive and expire.
 #[derive(Debug, Default)]
 struct Total {
     requests: u32,
     deferrable: u32,
     prompt_tokens: u32,
-    /// The few nodes that say something bad of it.
+    /// Nodes that report the server as suspect or failing.
     warnings: Vec<Warning>,
 }
 
@@ -186,20 +183,20 @@
     }
 }
 
-/// The last report of each other node.
+/// Last report of each other node.
 #[derive(Debug, Default)]
 pub(super) struct PeerReports {
     reports: HashKeyMap<u64, Report>,
-    /// Sums over the reports.
+    /// Sums over the reports, by server.
     totals: HashMap<ServerKey, Total>,
     last_at: Instant,
-    /// The last sum, by part; empty where none is asked for.
+    /// Parts of the last sum; empty if this node requests none.
     sum: Vec<Option<SumPart>>,
     queues: PeerQueues,
 }
 
 impl PeerReports {
-    /// Takes a report, unless a later one of the node came before.
+    /// Records a report, unless a later one of the same node is present.
     pub(super) fn note(&mut self, now: Instant, from: NodeId, sequence: u64, reported: NodeShares) {
         if self.is_outdated(now, from, sequence) {
             return;
@@ -220,7 +217,7 @@
         self.expire(now);
     }
 
-    /// Takes what changed at some servers since the node's last report.
+    /// Records the changes at some servers since the last report of a node.
     pub(super) fn note_changes(&mut self, now: Instant, from: NodeId, sequence: u64, changed: Vec<ServerShare>) {
         if self.is_outdated(now, from, sequence) {
             return;
@@ -243,8 +240,7 @@
         }
     }
 
-    /// A node was advised to send a request to a server: it counts until the node
-    /// tells of the server itself.
+    /// Counts a reserved request for a node until the node itself reports on the server.
     pub(super) fn note_reserved(&mut self, now: Instant, from: NodeId, reserved: &ServerShare) {
         let report = self.reports.entry(from.0).or_insert_with(|| Report::empty(now));
         let share = report
@@ -256,8 +252,8 @@
         self.totals.entry(reserved.server).or_default().add(from.0, now, reserved);
     }
 
-    /// The node with most deferrable runs at a server, one of which counts no more:
-    /// it is asked to break one off.
+    /// Returns the node with the most deferrable runs at a server and counts one less there;
+    /// the node is expected to stop that run.
     pub(super) fn take_deferrable(&mut self, now: Instant, server: ServerKey) -> Option<NodeId> {
         let fresh = self.reports.iter_mut().filter(|(_, report)| now.since(report.at) < REPORT_TTL);
         let runs = fresh.filter_map(|(node, report)| report.shares.get_mut(&server).map(|share| (*node, share)));
@@ -286,7 +282,7 @@
         }
     }
 
-    /// Forgets reports that are old.
+    /// Removes expired reports.
     fn expire(&mut self, now: Instant) {
         let old = |report: &Report| now.since(report.at) >= REPORT_TTL;
         let nodes: Vec<u64> = self.reports.iter().filter(|(_, report)| old(report)).map(|(node, _)| *node).collect();
@@ -297,8 +293,8 @@
         }
     }
 
-    /// Takes a part of the sum over all nodes; `own` is what this node told
-    /// when it asked.
+    /// Records a part of the sum over all nodes; `own` is what this node reported when it
+    /// requested the sum.
     pub(super) fn note_sum(&mut self, now: Instant, sum: SharesSum, own: &NodeShares) {
         if self.sum.len() != sum.parts {
             self.sum = (0..sum.parts).map(|_| None).collect();
@@ -316,12 +312,12 @@
         *present = Some(SumPart { at: now, shares, overloaded: sum.shares.overloaded, waiting });
     }
 
-    /// Sums are not used any more: all nodes are heard directly.
+    /// Drops the sum; the direct reports are used instead.
     pub(super) fn forget_sum(&mut self) {
         self.sum.clear();
     }
 
-    /// The sum of what other nodes told lately and of what this one does.
+    /// Adds up the recent reports of other nodes and this node's own.
     pub(super) fn sum_with(&self, now: Instant, own: NodeShares) -> NodeShares {
         let mut servers: HashMap<ServerKey, ServerShare> =
             own.servers.into_iter().map(|share| (share.server, share)).collect();
@@ -340,42 +336,41 @@
         NodeShares { servers: servers.into_values().collect(), overloaded, waiting, queues, coverage }
     }
 
-    /// Whether a node refuses requests for a service.
+    /// Whether another node reported that it refuses requests of a service.
     pub(super) fn is_overloaded_for(&self, now: Instant, service: u64) -> bool {
         let reported = self.fresh(now).any(|report| report.overloaded.contains(&service));
         let mut sums = self.sum.iter().flatten().filter(|part| now.since(part.at) < REPORT_TTL);
         reported || sums.any(|part| part.overloaded.contains(&service))
     }
 
-    /// Deferrable runs that the other nodes would start if there were room, by the last
-    /// sum; `None` if there was none lately.
+    /// Deferrable runs that wait at other nodes by the last sum; `None` without a recent one.
     pub(super) fn waiting_by_sum(&self, now: Instant) -> Option<u32> {
         let mut sums = self.sum.iter().flatten().filter(|part| now.since(part.at) < REPORT_TTL);
         sums.next().map(|part| part.waiting)
     }
 
-    /// The same of the nodes that are heard directly.
+    /// Deferrable runs that wait at the nodes that report to this one directly.
     pub(super) fn waiting_reported(&self, now: Instant) -> u32 {
         self.fresh(now).map(|report| report.waiting).sum()
     }
 
-    /// Tokens of unfinished batch work on a route at the other nodes.
+    /// Tokens of unfinished batch work on a route at other nodes.
     pub(super) fn queued_tokens(&self, now: Instant, route: RouteKey) -> u64 {
         self.queues.tokens(now, route)
     }
 
-    /// Deferrable runs that one node would start, as it told lately.
+    /// Deferrable runs that wait at one node by its last report; `None` without a recent one.
     pub(super) fn waiting_at(&self, now: Instant, node: NodeId) -> Option<u32> {
         self.reports.get(&node.0).filter(|report| now.since(report.at) < REPORT_TTL).map(|report| report.waiting)
     }
 
-    /// How well a node hears others, as it told; `Few` if it is not heard itself.
+    /// Coverage that a node reported; `Few` without a recent report.
     pub(super) fn coverage_of(&self, now: Instant, node: NodeId) -> Coverage {
         let report = self.reports.get(&node.0).filter(|report| now.since(report.at) < COVERAGE_TIMEOUT);
         report.map_or(Coverage::Few, |report| report.coverage)
     }
 
-    /// How well this node hears others: `nodes` of them, with these workers.
+    /// Coverage of this node among `nodes` nodes and these workers.
     pub(super) fn own_coverage(&self, now: Instant, nodes: usize, workers: &[NodeId]) -> Coverage {
         let is_recent = |report: &Report| now.since(report.at) < COVERAGE_TIMEOUT;
         let recent = self.reports.values().filter(|report| is_recent(report)).count();
@@ -394,9 +389,8 @@
         self.reports.values().filter(move |report| now.since(report.at) < REPORT_TTL)
     }
 
-    /// What all other nodes do at a server; it is suspect from the time of
-    /// the latest report that says so. A fresh sum tells it alone: each report
-    /// that it is made of must not count twice.
+    /// Requests of all other nodes at a server. A fresh sum is used alone: it contains the
+    /// direct reports, which must not count twice.
     pub(super) fn at(&self, now: Instant, server: ServerKey) -> PeerShare {
         let part = self.sum.get(part_of(server, self.sum.len())).and_then(Option::as_ref);
         let mut result = PeerShare::default();
@@ -406,7 +400,7 @@
             }
             return result;
         }
-        // Where nothing is heard any more, all reports are old.
+        // Without any recent report all totals are stale.
         if now.since(self.last_at) < REPORT_TTL {
             return self.totals.get(&server).map(Total::share).unwrap_or_default();
         }
@@ -414,7 +408,7 @@
     }
 }
 
-/// What all other nodes do at one server.
+/// Sum of all other nodes' requests and observations at one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct PeerShare {
     pub(super) requests: u32,
@@ -453,8 +447,8 @@
 }
 
 impl NodeShares {
-    /// The shares in parts of at most `limit` servers about, each with all
-    /// that is pressed.
+    /// Splits the sum into parts of about `limit` servers; each part repeats the data that
+    /// belongs to no server.
     pub fn into_parts(self, limit: usize) -> Vec<SharesSum> {
         let parts = self.servers.len().div_ceil(limit.max(1)).max(1);
         let part = |part| SharesSum {
--- a/crates/core/src/dispatch/tracker.rs
+++ b/crates/core/src/dispatch/tracker.rs
@@ -1,15 +1,14 @@
-//! Keepers: nodes that know what runs at some servers at any moment.
+//! Trackers: nodes with an up-to-date count of the requests at some servers.
 //!
-//! What nodes hear of each other by reports is a few hundred milliseconds old, too
-//! old where nearly all slots are taken: requests queue at one server while another
-//! is free. So each server has a keeper, one of the nodes that sum up loads, named by
-//! rendezvous hashing. A node asks a keeper for a server and is advised one that the
-//! keeper counts as taken from then on; nodes tell the keeper at once when a request
-//! has ended.
+//! Reports between nodes are a few hundred milliseconds old. That is too old where nearly all
+//! slots are taken: requests queue at one server while another has a free slot. So each server
+//! has a tracker, one of the coordinators, selected by rendezvous hashing. A node requests a
+//! server from a tracker, which reserves a slot there; nodes send the tracker an update as soon
+//! as a request ends.
 //!
-//! A keeper only advises. What it counts is replaced by what nodes tell of
-//! themselves, and a node that gets no answer chooses by what it knows itself. So
-//! nothing is agreed upon, nothing leaks, and two keepers of one server do no harm.
+//! Reservations are advisory. The reports of the nodes replace the tracker's counts, and a node
+//! that gets no reply places the request by its own state. So no consensus is needed, no
+//! reservation leaks, and two trackers of one server do no harm.
 
 use super::ring::ServerRing;
 use super::{Coverage, Dispatcher, Prompt, ServerKey, ServerShare, ServerView};
@@ -20,84 +19,84 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Seconds by which a server is worse where deferrable work has to give way first:
-/// its worker is asked by a datagram and closes a connection.
+/// Cost in seconds of preempting a deferrable run: a datagram to its worker, which closes a
+/// connection.
 const PREEMPTION_COST: f64 = 0.004;
 
-/// Servers at whose room one look around looks. A node looks around each 150 ms, so that
-/// a round over 10,000 servers takes 3 s; up to so many servers each look sees all.
+/// Servers whose free slots are added up in one call. With a call each 150 ms, a pass over
+/// 10,000 servers takes 3 s.
 const SERVERS_PER_CALL: usize = 512;
 
-/// Told to deferrable work for which there is no room.
+/// Retry time for deferrable work when no slot is free for it.
 const DEFERRABLE_RETRY_AFTER: Duration = Duration::from_millis(100);
 
-/// A request that asks a keeper for a server.
+/// Query for a server, sent to a tracker.
 #[derive(Debug)]
 pub struct TrackerQuery<'a> {
-    /// Node that asks.
+    /// Node that sent the query.
     pub from: NodeId,
     /// Hash of the service's name.
     pub service: u64,
-    /// The prompt.
+    /// Prompt of the request.
     pub prompt: &'a Prompt,
-    /// Servers that were asked before.
+    /// Servers of earlier attempts, skipped while there are others.
     pub avoid: &'a [ServerKey],
-    /// Longest wait for a slot that is worth taking.
+    /// Longest acceptable wait for a free slot.
     pub wait_limit: Duration,
-    /// Whether the work can wait and give way.
+    /// Whether the request can wait and be preempted.
     pub deferrable: bool,
-    /// Share of the slots of all kept servers that must stay free, 0 to 1.
+    /// Share of the slots of all tracked servers that has to stay free, 0 to 1.
     pub reserve: f64,
-    /// Whether deferrable work may have to give way to it.
+    /// Whether a deferrable run may be preempted for the request.
     pub may_preempt: bool,
-    /// Any number; spreads requests among equal servers.
+    /// Number that differs between requests, to spread them over equal servers.
     pub spread: u64,
 }
 
-/// A keeper's answer.
+/// Reply of a tracker.
 #[derive(Clone, Debug, PartialEq)]
 pub enum TrackerReply {
-    /// Send it to this server.
+    /// Send the request to this server, where it is counted from now on.
     Send {
-        /// The server.
+        /// Key of the server.
         server: ServerKey,
-        /// Prompt tokens that are expected to be read anew.
+        /// Prompt tokens that are expected not to be in the server's prefix cache.
         uncached: u32,
-        /// Expected wait for a slot.
+        /// Expected wait for a free slot.
         wait: Duration,
-        /// Node that is to break off a deferrable run there.
+        /// Node that has to stop a deferrable run at the server.
         preempts: Option<NodeId>,
     },
-    /// The least wait at a server is longer than what is worth taking.
+    /// No server is available within the wait limit; contains the expected wait.
     Full(Duration),
-    /// This node keeps no server of the service.
+    /// This node tracks no server of the service.
     TracksNone,
 }
 
-/// The servers of which a node is the keeper, and what it has to tell keepers.
+/// Servers that this node tracks, and changes that it has to send to the trackers of others.
 #[derive(Debug, Default)]
 pub(super) struct TrackedServers {
-    /// Kept servers by the hash of their service's name.
+    /// Tracked servers by the hash of the service name.
     rings: HashMap<u64, ServerRing>,
-    /// For which keepers and servers that holds.
+    /// Inputs from which the tracked servers were computed.
     computed_from: Option<TrackingInputs>,
-    /// Servers at which something changed that their keepers were not told.
+    /// Servers with changes that were not sent to their trackers yet.
     changed: BTreeSet<ServerKey>,
     free_slots_pass: FreeSlotsPass,
 }
 
-/// A round over all servers that adds up the free slots of each keeper's.
+/// Incremental pass over all servers that adds up the free slots of each tracker's servers.
 #[derive(Debug, Default)]
 struct FreeSlotsPass {
     trackers: Vec<NodeId>,
-    /// Servers that the round has not looked at.
+    /// Servers that are left in this pass.
     left: Vec<Arc<str>>,
     sums: Vec<(NodeId, f64)>,
-    /// What the last round found, or the first part of the first one.
+    /// Result of the last complete pass, or of the first part of the first one.
     last_sums: Vec<(NodeId, f64)>,
 }
 
-/// What decides which servers a node keeps.
+/// Inputs that determine which servers a node tracks.
 #[derive(Debug, PartialEq, Eq)]
 struct TrackingInputs {
     own: NodeId,
@@ -111,19 +110,19 @@
     }
 }
 
-/// A server that a keeper chose.
+/// Server that a tracker selected.
 struct TrackedChoice {
     id: Arc<str>,
     /// Seconds until a slot is free.
     wait: f64,
-    /// Prompt tokens to read anew.
+    /// Prompt tokens that are expected not to be in the server's prefix cache.
     uncached: u32,
-    /// Whether a deferrable run is to give way.
+    /// Whether a deferrable run has to be preempted.
     preempts: bool,
 }
 
-/// Which of the nodes that may keep servers do so: those that hear others best, and
-/// deputies only where no other hears as well. None where all hear too few.
+/// Selects the trackers among the coordinators: those with the best coverage, and fallback
+/// coordinators only if no regular one has that coverage. Empty if all have too few reports.
 pub fn select_trackers(candidates: &[(Coordinator, Coverage)]) -> Vec<NodeId> {
     let best = candidates.iter().map(|(_, coverage)| *coverage).max().unwrap_or_default();
     if best == Coverage::Few {
@@ -136,14 +135,14 @@
     chosen.into_iter().map(|coordinator| coordinator.node).collect()
 }
 
-/// The keeper of a server among these nodes.
+/// Returns the tracker of a server among these nodes.
 pub fn tracker_of(server: ServerKey, trackers: &[NodeId]) -> Option<NodeId> {
     trackers.iter().copied().max_by_key(|tracker| stable_pair_hash(tracker.0, u64::from(server.0)))
 }
 
 impl Dispatcher {
-    /// This node is the keeper of the servers that fall to it among `trackers`. Called
-    /// again while nothing changed, it looks at no server.
+    /// Selects the servers that this node tracks, given all `trackers`. Does nothing while the
+    /// inputs are unchanged.
     pub fn set_tracked(&mut self, own: NodeId, trackers: &[NodeId]) {
         let present = TrackingInputs { own, trackers: trackers.to_vec(), servers_version: self.servers_version };
         if self.tracked.computed_from.as_ref() == Some(&present) {
@@ -159,9 +158,9 @@
         }
     }
 
-    /// The keepers with the free slots of their servers, as this node believes. Each
-    /// call looks at a bounded number of servers, and gives back what the last round over
-    /// all of them found: it decides only which keeper is asked first.
+    /// Returns the estimated free slots of each tracker's servers. Each call processes a
+    /// bounded number of servers and returns the result of the last complete pass; it decides
+    /// only which tracker is queried first.
     pub fn free_slots_of_trackers(&mut self, now: Instant, trackers: &[NodeId]) -> Vec<(NodeId, f64)> {
         let mut pass = std::mem::take(&mut self.tracked.free_slots_pass);
         if pass.trackers != trackers {
@@ -187,7 +186,8 @@
         last_sums
     }
 
-    /// Advises a server to another node, and counts the request there from now on.
+    /// Selects a server for a request of another node, and counts the request there from now
+    /// on.
     pub fn reserve_server(&mut self, now: Instant, query: &TrackerQuery<'_>) -> TrackerReply {
         let Some(chosen) = self.choose_tracked(now, query) else { return TrackerReply::TracksNone };
         let TrackedChoice { id, wait, uncached, preempts } = chosen;
@@ -213,8 +213,8 @@
         TrackerReply::Send { server: key, uncached, wait: Duration::from_secs_f64(wait.min(3600.0)), preempts }
     }
 
-    /// Whether deferrable work leaves enough slots free: of all kept servers together,
-    /// since an urgent request may go to any of them.
+    /// Whether the reserve stays free if one more deferrable request starts. It is checked over
+    /// all tracked servers together, since an urgent request may go to any of them.
     fn leaves_reserve_free(&self, now: Instant, query: &TrackerQuery<'_>) -> bool {
         let rings = self.tracked.rings.get(&query.service).into_iter();
         let sampled_servers = rings.flat_map(|ring| ring.sampled_servers(None, query.spread));
@@ -227,10 +227,10 @@
         free - 1.0 >= slots * query.reserve
     }
 
-    /// The kept server with the soonest first token.
+    /// Selects the tracked server with the earliest expected first token.
     fn choose_tracked(&self, now: Instant, query: &TrackerQuery<'_>) -> Option<TrackedChoice> {
         let ring = self.tracked.rings.get(&query.service)?;
-        // A server that was removed a moment ago may be among them.
+        // The tracked servers may include one that was removed since they were computed.
         let first = ring.all().find_map(|id| self.servers.get(id))?;
         let cost = self.services.get(&first.service).copied().unwrap_or_default();
         let key = query.prompt.affinity_key();
@@ -261,14 +261,14 @@
         best.map(|(_, _, chosen)| chosen)
     }
 
-    /// What another node tells of servers at which something changed.
+    /// Records the changes at servers that another node sent.
     pub fn note_peer_changes(&mut self, now: Instant, from: NodeId, sequence: u64, mut changed: Vec<ServerShare>) {
         self.take_speed_updates(now, &mut changed);
         self.peers.note_changes(now, from, sequence, changed);
     }
 
-    /// What this node does at the servers where something changed since this was
-    /// asked last, for their keepers.
+    /// Returns this node's present shares at the servers that changed since the last call, for
+    /// their trackers.
     pub fn take_changes(&mut self, now: Instant) -> Vec<ServerShare> {
         let changed = std::mem::take(&mut self.tracked.changed);
         let shares = changed.into_iter().map(|key| {
@@ -281,25 +281,25 @@
         shares
     }
 
-    /// Whether there is something to tell keepers.
+    /// Whether there are changes to send to trackers.
     pub fn has_changes(&self) -> bool {
         !self.tracked.changed.is_empty()
     }
 
-    /// The keeper of the server where prompts with this prefix are kept.
+    /// Returns the tracker of the affinity server of a prompt.
     pub fn tracker_of_prompt(&self, service: &str, prompt: &Prompt, trackers: &[NodeId]) -> Option<NodeId> {
         let affinity = self.affinity_server(service, prompt.affinity_key()?)?;
         tracker_of(self.servers.get(&affinity)?.key, trackers)
     }
 
-    /// Seconds to read the part of a prompt that other requests share.
+    /// Returns the seconds to prefill the part of a prompt that other requests share.
     pub fn shared_prefill_seconds(&self, service: &str, prompt: &Prompt) -> f64 {
         let cost = self.services.get(service).copied().unwrap_or_default();
         cost.prefill(f64::from(prompt.shared_tokens()))
     }
 }
 
-/// Orders equal servers: the emptier ones first, then by chance.
+/// Sort key for servers of equal cost: emptier ones first, then random.
 fn spread_order(view: &ServerView<'_>, spread: u64) -> f64 {
     let hash = stable_pair_hash(u64::from(view.state.key.0), spread);
     let chance = hash as f64 / u64::MAX as f64;
