--- a/crates/core/src/dispatch/deferrable.rs
+++ b/crates/core/src/dispatch/deferrable.rs
@@ -1,53 +1,51 @@
-//! Deferrable work: how much of it a node starts, and how much gives way.
+//! Deferrable work: how much of it a node starts, and how much is preempted.
 //!
-//! Several nodes place deferrable work on the same servers, each by what it
-//! heard of the others a moment ago. If each took all the room that it sees,
-//! they would fill it as many times as there are nodes, and then all give way
-//! at once. So a node starts no more than its share of the room in the time in
-//! which the others hear of it, and gives way only by its share of the excess.
+//! Several nodes place deferrable work on the same servers, by reports that are some hundred
+//! milliseconds old. If each node filled all free slots that it sees, they would overfill the
+//! servers together, and then all preempt at once. So a node starts no more than its share of
+//! the free slots within the delay of the reports, and preempts only its share of the excess.
 
 use crate::time::Instant;
 use std::time::Duration;
 
-/// Time in which other nodes hear of what was started. Longer ones leave slots
-/// unused, with shorter ones more runs are broken off (tests/deferrable.rs
-/// prints both).
+/// Time until other nodes have received a report of what was started. Higher values leave slots
+/// unused, lower ones cause more preemption.
 const REPORT_DELAY: Duration = Duration::from_millis(450);
-/// Share of every server's slots that new work leaves to urgent requests.
+/// Share of each server's slots that new deferrable work leaves free for online requests.
 const EARLY_RESERVE: f64 = 0.12;
-/// The share that work leaves which is in danger of being late: some, since a
-/// request that finds no free slot waits until work has given way.
+/// Share of the slots that deferrable work close to its due time leaves free: not zero, since
+/// an online request without a free slot waits until the preemption is done.
 const LATE_RESERVE: f64 = 0.05;
-/// The reserve shrinks until this share of the time to the due time is over.
+/// Share of the time to the due time after which the reserve is smallest.
 const LATE_SHARE: f64 = 0.6;
 
-/// Share of every server's slots that work leaves free which can't be in time any more:
-/// as much as new work, so that at all nodes what is urgent goes before it.
+/// Returns the share of each server's slots that overdue work leaves free: the same as new
+/// work, so that work that can still be finished in time goes first.
 pub fn reserve_of_overdue() -> f64 {
     EARLY_RESERVE
 }
 
-/// Share of every server's slots that work leaves free, of whose time to its
-/// due time `passed` (0 to 1, or more) is over.
+/// Returns the share of each server's slots that work leaves free after the part `passed` (0 to
+/// 1, or more) of the time to its due time.
 pub fn reserve_of(passed: f64) -> f64 {
     let progress = (passed / LATE_SHARE).clamp(0.0, 1.0);
     EARLY_RESERVE + (LATE_RESERVE - EARLY_RESERVE) * progress
 }
 
-/// How much a node may start.
+/// Budget that limits how many deferrable runs a node starts.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct StartBudget {
     allowance: f64,
     filled_at: Option<Instant>,
-    /// When it was filled again after a pause.
+    /// Time of the first refill after a pause.
     resumed_at: Instant,
 }
 
 impl StartBudget {
-    /// Time passed; there is `free_slots` for so many runs, of which this node may
-    /// take a `share` of 0 to 1 by what others told. After a pause they may
-    /// have work too that isn't heard of yet: then `even` is the share, the one
-    /// of a node of equals.
+    /// Adds to the budget for the time since the last refill. `free_slots` is the number of
+    /// runs that could start, and `share`, 0 to 1, the part for this node by the reports of
+    /// other nodes. After a pause these reports may be incomplete; `share` is then limited to
+    /// `even`, the part for each node if all are equal.
     pub fn refill(&mut self, now: Instant, free_slots: f64, share: f64, even: f64) {
         let passed = self.filled_at.map_or(Duration::MAX, |at| now.since(at));
         self.filled_at = Some(now);
@@ -60,7 +58,7 @@
         self.allowance = (self.allowance + gained).min(share);
     }
 
-    /// Takes one start; `false` if none is left.
+    /// Takes one start from the budget; `false` if none is left.
     pub fn take(&mut self) -> bool {
         let left = self.allowance >= 1.0;
         if left {
@@ -70,10 +68,10 @@
     }
 }
 
-/// Deferrable runs at one server, and the room that they take from others.
+/// Deferrable runs at one server, and the excess of its load over its slots.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Congestion {
-    /// Requests beyond the slots; negative where some are free.
+    /// Requests beyond the slots; negative if slots are free.
     pub excess: f64,
     /// Deferrable runs of all nodes.
     pub deferrable: u32,
@@ -84,8 +82,8 @@
         Self { excess: -free_slots, deferrable }
     }
 
-    /// How many of `own` runs a node breaks off. `draw` is a random number
-    /// from 0 to 1: a part of a run is broken off as often as it is large.
+    /// Returns how many of its `own` runs a node has to preempt. `draw` is a random number from
+    /// 0 to 1 by which a fraction is rounded up or down.
     pub fn runs_to_preempt(&self, own: u32, draw: f64) -> u32 {
         if self.excess <= 0.0 || self.deferrable == 0 {
             return 0;
@@ -97,20 +95,20 @@
     }
 }
 
-/// When work gave way at a server last: what it did is heard of by others, and
-/// seen here, only after a while.
+/// Times of the last preemption at each server. Its effect is visible only after other nodes
+/// have reported.
 #[derive(Clone, Debug, Default)]
 pub struct RecentPreemptions {
     at: std::collections::HashMap<std::sync::Arc<str>, Instant>,
 }
 
 impl RecentPreemptions {
-    /// Whether work may give way again at a server.
+    /// Whether runs may be preempted at a server again.
     pub fn is_due(&self, now: Instant, server: &str) -> bool {
         self.at.get(server).is_none_or(|at| now.since(*at) >= REPORT_DELAY)
     }
 
-    /// Work gave way at a server.
+    /// Records a preemption at a server.
     pub fn note(&mut self, now: Instant, server: std::sync::Arc<str>) {
         self.at.retain(|_, at| now.since(*at) < REPORT_DELAY);
         self.at.insert(server, now);
--- a/crates/core/src/dispatch/speeds.rs
+++ b/crates/core/src/dispatch/speeds.rs
@@ -1,16 +1,16 @@
-//! What is heard of the speed of servers: by answers of their own to this node, and by
-//! other nodes, which tell the keeper of a server.
+//! Speed data of servers, from responses to this node and from the updates that other nodes
+//! send to the tracker of a server.
 
 use super::slowdown::SpeedUpdate;
 use super::{Dispatcher, Placement, ServerShare};
 use crate::time::Instant;
 use std::time::Duration;
 
-/// Answers with fewer pieces than this tell too little of the time between them.
+/// Smallest number of pieces of an answer that updates the step time.
 const MIN_MEASURED_PIECES: u32 = 8;
 
 impl Dispatcher {
-    /// A server told its pace, or didn't.
+    /// Records the slowdown that a server reported, if it did.
     pub(super) fn note_reported_slowdown(&mut self, now: Instant, server: &str, percent: Option<u32>) {
         let (Some(percent), Some(server)) = (percent, self.servers.get_mut(server)) else { return };
         let cost = self.services.entry(server.service.clone()).or_default();
@@ -19,7 +19,8 @@
         self.tracked.note_change(server.key);
     }
 
-    /// An answer came whole, the last of `pieces` so long after the first.
+    /// Records that an answer of `pieces` pieces is complete; the last piece arrived `time`
+    /// after the first.
     pub fn note_pieces(&mut self, now: Instant, placement: &Placement, pieces: u32, time: Duration) {
         if pieces < MIN_MEASURED_PIECES {
             return;
@@ -32,8 +33,8 @@
         self.tracked.note_change(key);
     }
 
-    /// A step at a server took so long. Nothing is learned where no server of the
-    /// service tells its pace.
+    /// Records the time between two pieces at a server. Ignored if no server of the service
+    /// reports its slowdown.
     fn note_step(&mut self, now: Instant, server: &str, step: Duration) {
         let Some(server) = self.servers.get_mut(server) else { return };
         let Some(cost) = self.services.get_mut(&server.service) else { return };
@@ -43,7 +44,7 @@
         server.speed.note_step(ratio);
     }
 
-    /// Takes what other nodes tell of the speed of servers out of their shares.
+    /// Removes the speed data from the shares of other nodes and records it.
     pub(super) fn take_speed_updates(&mut self, now: Instant, shares: &mut [ServerShare]) {
         for share in shares {
             let update = std::mem::take(&mut share.speed);
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Adds to shares for keepers what these were not told of the speed of servers.
+    /// Adds speed data that was not sent yet to shares for trackers.
     pub(super) fn add_speed_updates(&mut self, now: Instant, shares: &mut [ServerShare]) {
         for share in shares {
             let server = self.ids.get(&share.server).and_then(|id| self.servers.get_mut(id));
--- a/crates/core/src/preemption.rs
+++ b/crates/core/src/preemption.rs
@@ -1,42 +1,40 @@
-//! Which run of a batch item gives way to an online request.
+//! Selection of the deferrable run that is preempted for an online request.
 //!
-//! The load that this answers: peaks of online requests that take most slots at once,
-//! every few seconds. What a cut costs an item is a wait and the reading of its prompt;
-//! it is worst for an item that would have freed its slot by itself in a moment, and for
-//! one that was cut before.
+//! A preempted item waits for another slot, and its prompt is prefilled again. That is worst
+//! for an item that would have ended soon, and for one that was preempted before.
 
 use crate::time::Instant;
 use std::time::Duration;
 
-/// A run that is expected to end within this time is let end: its item would wait for
-/// longer until it has another place and its prompt is read again.
+/// A run expected to end within this time is preempted only if all others are too: preempting
+/// it would gain little and cost its item more.
 const MIN_REMAINING_TIME: Duration = Duration::from_millis(300);
 
-/// What is known of a run that can give way.
+/// Properties of a run that can be preempted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RunOutlook {
-    /// Whether its item can't be in time any more.
+    /// Whether the item can no longer be finished by its due time.
     pub overdue: bool,
-    /// When its job is due, in milliseconds since 1970.
+    /// Due time of the job, in milliseconds since 1970.
     pub due_ms: u64,
-    /// When it is expected to end without a pause; its start, if no time is known.
+    /// Expected end of the run without pauses; its start, if no estimate exists.
     pub expected_end: Instant,
-    /// Whether an earlier run of the item was broken off.
+    /// Whether an earlier run of the item was preempted.
     pub preempted_before: bool,
-    /// Rises with the starts of runs.
+    /// Sequence number of the run's start.
     pub number: u64,
 }
 
 impl RunOutlook {
-    /// Runs give way in falling order of this: those that are not about to end, overdue
-    /// ones, those that were not cut before, the one that is due last, the latest.
+    /// Sort key; the run with the highest key is preempted first: runs that don't end soon,
+    /// overdue ones, items not preempted before, the latest due time, the latest start.
     fn rank(&self, now: Instant) -> (bool, bool, bool, u64, u64) {
         let ends_late = self.expected_end > now + MIN_REMAINING_TIME;
         (ends_late, self.overdue, !self.preempted_before, self.due_ms, self.number)
     }
 }
 
-/// Position of the run that gives way first; `None` if there is none.
+/// Returns the index of the run to preempt first; `None` if there are no runs.
 pub fn first_to_preempt(now: Instant, runs: &[RunOutlook]) -> Option<usize> {
     (0..runs.len()).max_by_key(|position| runs[*position].rank(now))
 }
