--- a/crates/core/src/dispatch/cost.rs
+++ b/crates/core/src/dispatch/cost.rs
@@ -65,7 +65,7 @@
 pub(super) struct ServiceCost {
     token_seconds: f64,
     service_seconds: f64,
-    /// Seconds between two pieces of an answer at the usual speed, once an answer had enough pieces.
+    /// Seconds between two pieces of an answer at the usual speed; `None` without an estimate.
     step_seconds: Option<f64>,
     /// Validity of reported slowdowns; `None` if no server of the service reports any.
     pub(super) slowdown_validity: Option<SlowdownValidity>,
