--- a/crates/core/tests/dispatch.rs
+++ b/crates/core/tests/dispatch.rs
@@ -1,4 +1,4 @@
-//! Choice of a server by nodes that all send to all servers.
+//! Selection of servers by nodes that all send to all servers.
 
 use latchwheel_core::directory::ServerRecord;
 use latchwheel_core::dispatch::{
@@ -76,7 +76,7 @@
     assert!(counts.values().all(|count| *count == 3), "{counts:?}");
 }
 
-/// All nodes send a prefix to the same server without telling each other.
+/// Nodes select the same affinity server for a prefix without exchanging messages.
 #[test]
 fn a_prefix_has_the_same_affinity_server_at_every_node() {
     let names = ["a", "b", "c", "d", "e"];
@@ -110,7 +110,7 @@
         assert_eq!(&*placed(dispatcher.choose(at(1), &query(&empty, spread))).server, "b");
     }
     assert_eq!(dispatcher.free_slots(at(1), "a", 0.0), Some(-1.0));
-    // A later report replaces the one before; an earlier one that comes late doesn't.
+    // A later report replaces the previous one; an earlier report that arrives late is ignored.
     dispatcher.note_peer(at(2), NodeId(1), 5, report(vec![]));
     dispatcher.note_peer(at(3), NodeId(1), 4, report(vec![share("a", 3)]));
     assert_eq!(dispatcher.free_slots(at(4), "a", 0.0), Some(2.0));
@@ -188,8 +188,8 @@
     for spread in 0..8 {
         assert_ne!(placed(second.choose(later, &query(&empty, spread))).server, placement.server);
     }
-    // Who hears of it later than the report knows better: with the other server
-    // the busier one, it is chosen again.
+    // A contact after the report clears the suspicion: the server is selected again while the
+    // other one is busier.
     let other = if &*placement.server == "a" { "b" } else { "a" };
     for _ in 0..3 {
         second.note_sent(at(500), &Placement { server: other.into(), ..placement.clone() }, &empty);
@@ -199,7 +199,7 @@
     assert_eq!(placed(second.choose(at(502), &query(&empty, 0))).server, placement.server);
 }
 
-/// A server that fails some requests and answers others is used less.
+/// A server that fails only some requests still gets fewer of them.
 #[test]
 fn failures_are_remembered_between_answers() {
     let mut dispatcher = dispatcher(&["a", "b"]);
@@ -222,7 +222,7 @@
     }
     let much_later: Vec<_> =
         (0..16).map(|spread| placed(dispatcher.choose(at(60_000), &query(&empty, spread))).server).collect();
-    assert!(much_later.iter().any(|server| &**server == "a"), "it is tried again");
+    assert!(much_later.iter().any(|server| &**server == "a"), "the server is tried again");
 }
 
 #[test]
@@ -237,7 +237,7 @@
     assert!(dispatcher.reports(at(2)).is_empty());
 }
 
-/// To send is not to hear: a request sent after the report changes nothing.
+/// Sending a request is not a contact and must not clear a suspicion.
 #[test]
 fn sending_does_not_clear_a_suspicion() {
     let mut dispatcher = dispatcher(&["a", "b"]);
@@ -254,7 +254,7 @@
         preempts: false,
     };
     dispatcher.note_sent(at(1), &placement, &empty);
-    // The other server is the busier one.
+    // The other server has the higher load.
     for _ in 0..3 {
         dispatcher.note_sent(at(1), &Placement { server: "b".into(), ..placement.clone() }, &empty);
     }
@@ -263,7 +263,7 @@
     }
 }
 
-/// Who runs batch work hears that online requests are refused elsewhere.
+/// A refusal of online requests has to reach the nodes that run batch work.
 #[test]
 fn a_refusal_marks_a_service_overloaded_at_all_nodes_for_a_while() {
     let mut front = dispatcher(&["a"]);
@@ -277,8 +277,8 @@
     assert!(!worker.is_overloaded(at(1_200), "s") && !front.is_overloaded(at(1_200), "s"));
 }
 
-/// A sum over all nodes counts this one's own requests too; they count once,
-/// and neither the reports that the sum is made of nor an old sum count.
+/// The sum over all nodes includes this node's requests, which must not count twice; direct
+/// reports and expired sums must not be added.
 #[test]
 fn a_sum_over_all_nodes_counts_each_request_once() {
     let mut dispatcher = dispatcher(&["a"]);
@@ -289,12 +289,12 @@
     let own = dispatcher.shares(at(0));
     dispatcher.note_peer(at(10), NodeId(7), 1, report(vec![share(2)]));
     assert_eq!(dispatcher.free_slots(at(10), "a", 0.0), Some(1.0));
-    // The aggregator heard this node's one and three of others.
+    // The aggregator received one request of this node and three of others.
     let sum = report(vec![share(4)]).into_parts(10).remove(0);
     dispatcher.note_sum(at(20), sum, &own);
     assert_eq!(dispatcher.free_slots(at(20), "a", 0.0), Some(0.0));
     let late = at(20) + REPORT_TTL;
-    assert_eq!(dispatcher.free_slots(late, "a", 0.0), Some(3.0), "only the own request is left");
+    assert_eq!(dispatcher.free_slots(late, "a", 0.0), Some(3.0), "only this node's request is left");
 }
 
 #[test]
@@ -308,8 +308,7 @@
     assert!(parts.iter().all(|part| part.shares.overloaded == [5] && part.shares.servers.len() < 75));
 }
 
-/// Many nodes that hear the same of all servers must not all choose the one
-/// that is emptiest at that moment.
+/// Nodes with the same reports must not all select the server that is emptiest at that moment.
 #[test]
 fn nodes_with_the_same_reports_choose_different_servers() {
     let names: Vec<String> = (0..30).map(|number| format!("server-{number}")).collect();
@@ -320,7 +319,7 @@
         let mut dispatcher = dispatcher(&names);
         let busy = |(number, name): (usize, &&str)| ServerShare {
             server: ServerKey::of(name),
-            // One is empty, the others have some requests.
+            // One server is empty, the others have one request each.
             requests: (number as u32).min(1),
             ..ServerShare::default()
         };
@@ -335,8 +334,8 @@
     assert!(most <= 5, "{chosen:?}");
 }
 
-/// A server that answers fast and fails looks idle; the node that sees it and
-/// those that it tells leave it, and come back once it may be sound again.
+/// A server that fails requests fast looks idle. The node that sees the failures and those that
+/// receive its report avoid the server for a while.
 #[test]
 fn a_server_that_fails_requests_is_avoided_by_all_nodes() {
     let names = ["a", "b", "c", "d"];
@@ -347,7 +346,7 @@
         dispatcher.note_sent(at(time), &placement, &empty);
         dispatcher.note_end(at(time), &placement, ending, true, Duration::from_millis(5));
     };
-    // A single failure among answers means nothing: some requests always fail.
+    // A single failure among answers has no effect, since some requests fail at any server.
     end_at(&mut first, 0, "a", Ending::Failed);
     (1..4).for_each(|time| end_at(&mut first, time, "a", Ending::Answered));
     assert!(first.shares(at(5)).servers.is_empty());
@@ -360,12 +359,12 @@
             (0..200).map(choose).filter(|server| **server == *"a").count()
         };
         assert_eq!(chosen(21), 0);
-        assert!(chosen(40_000) > 20, "it is tried again later");
+        assert!(chosen(40_000) > 20, "the server is tried again later");
     }
 }
 
-/// Deferrable work gives way at once, so that an urgent request may go to a
-/// server that is full of it; it says whether a run has to give way.
+/// An urgent request may be placed at a server full of deferrable runs; the placement states
+/// whether one has to be preempted.
 #[test]
 fn urgent_requests_can_preempt_deferrable_runs() {
     let share = |server: &str, requests, deferrable| ServerShare {
@@ -381,14 +380,18 @@
     assert_eq!((&*placement.server, placement.preempts), ("a", true));
     assert_eq!(placement.expected_wait, Duration::ZERO);
     let deferrable = PlacementQuery { wait_limit: Duration::ZERO, deferrable: true, ..query(&empty, 0) };
-    assert!(matches!(full.choose(at(1), &deferrable), Choice::Full(_)), "it doesn't make room for its like");
+    assert!(
+        matches!(full.choose(at(1), &deferrable), Choice::Full(_)),
+        "deferrable work does not preempt deferrable work"
+    );
 
     let mut ample = dispatcher(&["a"]);
     ample.note_peer(at(0), NodeId(1), 1, report(vec![share("a", 1, 1)]));
     assert!(!placed(ample.choose(at(1), &query(&empty, 0))).preempts);
 }
 
-/// Whoever wants room asks the same few nodes that run work there first.
+/// Preemption requests of all nodes go to the same few nodes, which run deferrable work at the
+/// server first.
 #[test]
 fn the_preferred_workers_of_a_server_are_the_same_at_every_node() {
     let nodes: Vec<NodeId> = (1..=10).map(NodeId).collect();
--- a/crates/core/tests/heartbeats.rs
+++ b/crates/core/tests/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Which workers a node hears directly, of a few and of many.
+//! Selection of the workers whose heartbeats a node receives, with few and with many workers.
 
 use latchwheel_core::dispatch::sends_heartbeat;
 use latchwheel_core::identity::NodeId;
@@ -16,9 +16,8 @@
     }
 }
 
-/// A node hears about as many workers however many there are, and what a worker sends
-/// depends on the nodes for each worker alone. Telling all would be 150, 300 and 600
-/// workers heard, and 986, 1,972 and 3,944 datagrams a second sent.
+/// The heartbeats that a node receives and a worker sends must not grow with the number of
+/// workers.
 #[test]
 fn heartbeats_per_node_do_not_grow_with_the_cluster() {
     for doublings in 0..3 {
@@ -28,8 +27,8 @@
         let sent =
             |worker: &NodeId| nodes.iter().filter(|node| sends_heartbeat(*worker, workers.len(), **node)).count();
         let (least, most) = (nodes.iter().map(received).min().unwrap(), nodes.iter().map(received).max().unwrap());
-        assert!(least >= 4 && most <= 50, "{} workers: heard {least} to {most}", workers.len());
+        assert!(least >= 4 && most <= 50, "{} workers: received {least} to {most}", workers.len());
         let busiest = workers.iter().map(sent).max().unwrap();
-        assert!(busiest <= 200, "{} workers: {busiest} hellos", workers.len());
+        assert!(busiest <= 200, "{} workers: {busiest} heartbeats", workers.len());
     }
 }
--- a/crates/core/tests/trackers.rs
+++ b/crates/core/tests/trackers.rs
@@ -1,4 +1,4 @@
-//! Keepers of servers: what they advise, and what it is worth at a peak.
+//! Trackers: the servers that they reserve, and their advantage at a load peak.
 
 use latchwheel_core::directory::ServerRecord;
 use latchwheel_core::dispatch::{
@@ -83,7 +83,7 @@
     assert_eq!(server_of(&tracker.reserve_server(at(2), &query(&prompt))), reserved[0]);
 }
 
-/// A removed server is named among those that a keeper keeps until it looks around again.
+/// The tracked servers include a removed one until they are computed again.
 #[test]
 fn a_removed_server_does_not_block_the_others() {
     for removed in 0..3 {
@@ -99,10 +99,10 @@
     let mut tracker = tracker(1, 1);
     let prompt = Prompt::default();
     let server = server_of(&tracker.reserve_server(at(0), &query(&prompt)));
-    // The request was not sent after all.
+    // The request was not sent.
     tracker.note_peer(at(5), FRONT, 1, NodeShares::default());
     assert_eq!(server_of(&tracker.reserve_server(at(6), &query(&prompt))), server);
-    // A node that is not heard any more counts for nothing.
+    // The reservations of a node that no longer reports expire.
     assert!(matches!(tracker.reserve_server(at(7), &query(&prompt)), TrackerReply::Full(_)));
     tracker.note_peer(at(3000), WORKER, 1, NodeShares::default());
     assert_eq!(server_of(&tracker.reserve_server(at(3000), &query(&prompt))), server);
@@ -119,7 +119,7 @@
     let preempting = TrackerQuery { may_preempt: true, ..query(&prompt) };
     let reply = tracker.reserve_server(at(1), &preempting);
     assert!(matches!(reply, TrackerReply::Send { preempts: Some(WORKER), wait: Duration::ZERO, .. }), "{reply:?}");
-    // Each request displaces one run, and no more than there are.
+    // Each request preempts one run, and no more than there are.
     let second = tracker.reserve_server(at(1), &preempting);
     assert!(matches!(second, TrackerReply::Send { preempts: Some(WORKER), .. }), "{second:?}");
     assert!(matches!(tracker.reserve_server(at(1), &preempting), TrackerReply::Full(_)));
@@ -160,14 +160,13 @@
     assert_eq!((&*placement.server, placement.uncached, placement.preempts), ("server-0", 10, false));
     front.note_sent(at(0), &placement, &Prompt::default());
     front.note_end(at(1), &placement, Ending::Broken, false, Duration::from_millis(1));
-    assert_eq!(front.place_at(at(2), key, 0, Duration::ZERO, false), None, "it has just failed");
+    assert_eq!(front.place_at(at(2), key, 0, Duration::ZERO, false), None, "the server has just failed");
     assert_eq!(front.place_at(at(2), ServerKey(99), 0, Duration::ZERO, false), None);
     front.set_ready([].iter());
-    assert_eq!(front.place_at(at(9000), key, 0, Duration::ZERO, false), None, "it takes no work any more");
+    assert_eq!(front.place_at(at(9000), key, 0, Duration::ZERO, false), None, "the server is not ready");
 }
 
-/// A peak as on the users' shifted deployment: 89 servers of six slots, and as many
-/// requests as these can just serve, for 2.4 s.
+/// Load peak of 2.4 s with as many requests as the servers can just handle.
 struct Peak {
     random: SmallRng,
     servers: Vec<VecDeque<Instant>>,
@@ -185,7 +184,7 @@
 const SERVICE_TIME: Duration = Duration::from_millis(700);
 const PER_SECOND: f64 = 750.0;
 const TARGET: Duration = Duration::from_millis(300);
-/// How often nodes hear of each other without keepers, and how late.
+/// Interval and delay in milliseconds of reports between nodes when no tracker is used.
 const REPORT_INTERVAL_MS: u64 = 150;
 
 impl Peak {
@@ -202,7 +201,7 @@
         }
     }
 
-    /// Share of the requests whose slot was free within their target.
+    /// Returns the share of requests that got a slot within the target time.
     fn play(&mut self, by_tracker: bool) -> f64 {
         for millisecond in 0..2400 {
             let now = at(millisecond);
@@ -220,7 +219,7 @@
         self.in_time as f64 / self.all as f64
     }
 
-    /// All servers work.
+    /// Every server sends pieces of its answers.
     fn receive_pieces(&mut self, now: Instant) {
         for (_, front, placement) in &self.ends {
             self.fronts[*front].note_contact(now, &placement.server);
@@ -268,7 +267,7 @@
         self.run(now, front, placement);
     }
 
-    /// The server works on it once a slot is free, first come first served.
+    /// The server runs the request once a slot is free, in order of arrival.
     fn run(&mut self, now: Instant, front: usize, placement: Placement) {
         let number: usize = placement.server.strip_prefix("server-").unwrap().parse().unwrap();
         let ends = &mut self.servers[number];
@@ -305,7 +304,7 @@
 fn at_a_peak_trackers_serve_more_in_time_than_reports() {
     let share = |by_tracker| (0..3).map(|seed| Peak::new(seed).play(by_tracker)).sum::<f64>() / 3.0;
     let (by_reports, by_tracker) = (share(false), share(true));
-    println!("in time: {by_reports:.3} by what is heard, {by_tracker:.3} by a keeper");
+    println!("in time: {by_reports:.3} by reports, {by_tracker:.3} by a tracker");
     assert!(by_tracker > 0.99, "{by_tracker}");
     assert!(by_reports < by_tracker - 0.02, "{by_reports}");
 }
