--- a/crates/core/tests/deferrable.rs
+++ b/crates/core/tests/deferrable.rs
@@ -1,5 +1,4 @@
-//! Many nodes place deferrable work on the same servers, each by what it heard
-//! of the others a moment ago.
+//! Many nodes place deferrable work on the same servers by reports that arrive late.
 
 use latchwheel_core::directory::ServerRecord;
 use latchwheel_core::dispatch::{
@@ -19,14 +18,14 @@
 const SLOTS: u32 = 7;
 const NODES: usize = 10;
 const STEP_MS: u64 = 100;
-/// Runs that wait at each node.
+/// Deferrable runs that wait at each node.
 const WAITING: u32 = 50;
-/// Reports reach the others after so many steps.
+/// Steps after which a report reaches the other nodes.
 const REPORT_STEPS: usize = 3;
 /// Steps that a run takes.
 const RUN_STEPS: u64 = 40;
 const STEPS: u64 = 600;
-/// Steps that a burst and the calm before it take each.
+/// Steps of a burst, and of the interval before it.
 const BURST_STEPS: u64 = 30;
 const BURSTS: u64 = STEPS / BURST_STEPS / 2;
 
@@ -48,7 +47,7 @@
     ends: u64,
 }
 
-/// A node with more deferrable work than room.
+/// Node with more deferrable work than free slots.
 struct Node {
     dispatcher: Dispatcher,
     budget: StartBudget,
@@ -58,7 +57,7 @@
 
 #[derive(Default)]
 struct Outcome {
-    /// Slots that deferrable runs use, summed over steps.
+    /// Slots used by deferrable runs, summed over steps.
     used: u64,
     preempted: u64,
     /// Requests beyond the slots, summed over servers and steps.
@@ -142,8 +141,8 @@
     }
 }
 
-/// Urgent requests take slots by turns between a fifth and three fifths of
-/// all, as bursts do; a front that sees all of them tells the nodes.
+/// Urgent requests alternate between one fifth and three fifths of all slots. A front that
+/// sends all of them reports to the nodes.
 fn urgent_at(step: u64) -> u32 {
     let burst = (step / BURST_STEPS) % 2 == 1;
     SERVERS as u32 * SLOTS * if burst { 3 } else { 1 } / 5
@@ -203,22 +202,22 @@
     outcome.waiting += loads.values().map(|load| u64::from(load.saturating_sub(SLOTS))).sum::<u64>();
 }
 
-/// Work fills the room that urgent requests leave without being broken off
-/// again and again, and without making them wait for long.
+/// Deferrable work uses most of the slots that urgent requests leave, with few preemptions and
+/// without long waits of urgent requests.
 #[test]
 fn late_reports_cause_few_preemptions_and_short_waits() {
     for seed in 0..5 {
         let outcome = play(seed);
         let slots = u64::from(SERVERS as u32 * SLOTS);
-        // Slots that urgent requests leave, over all steps.
+        // Slots left by urgent requests, over all steps.
         let possible = slots * STEPS * 3 / 5;
         let (used, preempted) = (outcome.used, outcome.preempted);
         let waiting = outcome.waiting as f64 / STEPS as f64;
-        println!("seed {seed}: {used} of {possible} slots used, {preempted} runs broken off, {waiting} requests wait");
+        println!("seed {seed}: {used} of {possible} slots used, {preempted} runs preempted, {waiting} requests wait");
         assert!(used * 10 > possible * 6, "seed {seed}: {used} of {possible} slots used");
-        // Each burst needs the slots of two fifths of all.
+        // Each burst needs two fifths of all slots.
         let needed = slots * 2 / 5 * BURSTS;
-        assert!(preempted < needed * 5 / 2, "seed {seed}: {preempted} runs broken off, {needed} needed at most");
+        assert!(preempted < needed * 5 / 2, "seed {seed}: {preempted} runs preempted, {needed} needed at most");
         assert!(waiting < 12.0, "seed {seed}: {waiting} requests wait");
     }
 }
@@ -231,8 +230,7 @@
 }
 
 proptest! {
-    /// Together the nodes break off what is in excess, and never more runs
-    /// than there are.
+    /// Together the nodes preempt the excess, and never more runs than there are.
     #[test]
     fn shares_of_the_excess_add_up(owns in prop::collection::vec(0_u32..6, 1..12), free in -10.0_f64..3.0) {
         let deferrable: u32 = owns.iter().sum();
@@ -246,8 +244,8 @@
         }
     }
 
-    /// However often the budget is renewed, a node starts no more than its
-    /// share of the room in the time in which others hear of it.
+    /// However often the budget is refilled, a node starts no more than its share of the free
+    /// slots within the delay of the reports.
     #[test]
     fn a_node_starts_no_more_than_its_share(free_slots in 0.0_f64..400.0, nodes in 1_usize..20, refills in 1_u64..30) {
         let mut budget = StartBudget::default();
--- a/crates/core/tests/many_servers.rs
+++ b/crates/core/tests/many_servers.rs
@@ -1,6 +1,5 @@
-//! Thousands of servers: what changes of them comes to the same as a new list, and a
-//! keeper that looks at a few of them for each request serves a peak as one that looks
-//! at all.
+//! Thousands of servers: incremental changes have the same result as a new list, and a tracker
+//! that examines a sample for each request serves a peak as well as one that examines all.
 
 use latchwheel_core::directory::ServerRecord;
 use latchwheel_core::dispatch::{
@@ -41,7 +40,7 @@
     ready
 }
 
-/// Servers come and go one by one at one node, and as lists at another.
+/// One node adds and removes single servers; another replaces the whole list.
 #[test]
 fn incremental_changes_match_a_new_list() {
     for seed in 0..50 {
@@ -64,19 +63,18 @@
     }
 }
 
-/// What callers got at a peak.
+/// Outcome of the requests at a peak.
 #[derive(Debug, Default)]
 struct Played {
     sent: usize,
     at_once: usize,
     refused: usize,
-    /// Prompts that were sent where their shared part is kept.
+    /// Requests sent to a server that has their shared prefix cached.
     cached: usize,
 }
 
-/// Plays the shape of the heaviest days before one keeper: 0.383 and 1.87 times the
-/// mean by turns, the peaks at 97 in 100 of all slots; a request takes 60 ms. Of the
-/// prompts, each shared part belongs to one in two thousand.
+/// Plays alternating low load and peaks at 97% of all slots against one tracker. A request
+/// takes 60 ms; each prompt has one of 2,000 shared prefixes.
 fn play(servers: usize) -> Played {
     let records: Vec<ServerRecord> = (0..servers).map(record).collect();
     let mut tracker = Dispatcher::default();
@@ -115,14 +113,14 @@
                     ends.push_back((now + 60, server));
                 }
                 TrackerReply::Full(_) => played.refused += 1,
-                TrackerReply::TracksNone => panic!("it keeps all servers"),
+                TrackerReply::TracksNone => panic!("the tracker tracks all servers"),
             }
         }
     }
     played
 }
 
-/// The front tells what it has at a server; first pieces come within the millisecond.
+/// The front reports its requests at a server.
 fn report(tracker: &mut Dispatcher, now: u64, sequence: u64, server: ServerKey, requests: u32) {
     let share = ServerShare { server, requests, ..ServerShare::default() };
     tracker.note_peer_changes(at(now), FRONT, sequence, vec![share]);
@@ -142,9 +140,8 @@
     }
 }
 
-/// 200 servers are all looked at; of 800 and 3,300, 256 are. Each gets a free slot at
-/// once at 97 in 100 taken, and as many prompts are sent where their shared part was
-/// read, which are more where there are fewer servers for the same prompts.
+/// With 800 and 3,300 servers only a sample is examined per request. As with 200, free slots
+/// are found and half of the requests find their prefix cached.
 #[test]
 fn a_sample_of_many_servers_is_enough_at_a_peak() {
     for servers in [200, 800, 3300] {
@@ -155,7 +152,7 @@
     }
 }
 
-/// Each node finds out by itself whether it is one of those that a server names first.
+/// `is_preferred_worker` agrees with `preferred_workers` at every node.
 #[test]
 fn every_node_agrees_on_the_preferred_workers() {
     let nodes: Vec<NodeId> = (0..150).map(|number| NodeId::of_name(&format!("worker-{number}"))).collect();
--- a/crates/core/tests/preemption.rs
+++ b/crates/core/tests/preemption.rs
@@ -1,4 +1,4 @@
-//! Which run of a batch item gives way to an online request.
+//! Selection of the deferrable run that is preempted for an online request.
 
 use latchwheel_core::preemption::{first_to_preempt, RunOutlook};
 use latchwheel_core::time::Instant;
@@ -8,7 +8,7 @@
     Instant::default() + Duration::from_secs(60)
 }
 
-/// A run that goes on for two seconds.
+/// A run that ends in two seconds.
 fn run(number: u64) -> RunOutlook {
     let expected_end = now() + Duration::from_secs(2);
     RunOutlook { overdue: false, due_ms: 18_000, expected_end, preempted_before: false, number }
@@ -49,8 +49,7 @@
     assert_eq!(first_to_preempt(now(), &[run(5), due_last, run(7)]), Some(1));
 }
 
-/// Peaks take half of all slots again and again: few items give way twice, and those that
-/// are about to end do so by themselves.
+/// Two peaks that each need half of all slots preempt every item once, not some items twice.
 #[test]
 fn preemptions_are_spread_over_items() {
     const RUNS: u64 = 40;
--- a/crates/core/tests/uneven_servers.rs
+++ b/crates/core/tests/uneven_servers.rs
@@ -1,4 +1,4 @@
-//! Servers that differ in speed for good and for a moment, played without a network.
+//! Servers with lasting and momentary differences in speed, simulated without a network.
 
 use latchwheel_core::directory::ServerRecord;
 use latchwheel_core::dispatch::{
@@ -15,7 +15,7 @@
 const FRONT: NodeId = NodeId(2);
 const SERVERS: usize = 16;
 const SLOTS: u32 = 8;
-/// Time of a step at the usual speed.
+/// Time between two pieces at the usual speed.
 const STEP: Duration = Duration::from_millis(4);
 const PIECES: u32 = 40;
 
@@ -44,7 +44,8 @@
     ServerKey::of(&format!("server-{number}"))
 }
 
-/// One in four works at 0.55 of the usual speed, the others at 1.2 times.
+/// Time that work takes at a server relative to the usual: one in four servers runs at 0.55 of
+/// the usual speed, the others at 1.2 of it.
 fn lasting(number: usize) -> f64 {
     if number.is_multiple_of(4) {
         1.0 / 0.55
@@ -53,7 +54,7 @@
     }
 }
 
-/// Every 600 ms one server in seven is slow for half a second, by chance.
+/// Momentary slowdown: every 600 ms about one server in seven is slow for half a second.
 fn momentary(number: usize, millis: u64, seed: u64) -> f64 {
     let (round, within) = (millis / 600, millis % 600);
     let chance = stable_hash(format!("{number} {round} {seed}").as_bytes()) % 100;
@@ -64,18 +65,18 @@
     }
 }
 
-/// What a play without a network comes to.
+/// Result of a simulation.
 struct Played {
-    /// Mean time from the ask to the last piece, in seconds.
+    /// Mean time from the query to the last piece, in seconds.
     mean: f64,
-    /// That of the slowest in a hundred.
+    /// 99th percentile of the same time.
     p99: f64,
     /// Requests by server.
     sent: Vec<u32>,
 }
 
-/// Requests come at a rate for 20 s and are advised by a keeper that hears of each end
-/// at once, with what was seen of the speed if `told`.
+/// Sends requests at a rate (per second) for 20 s. The tracker receives an update at each end
+/// of a request, with the observed speed if `reports_speed`.
 fn play(rate: f64, seed: u64, reports_speed: bool) -> Played {
     let mut tracker = tracker();
     let mut random = SmallRng::seed_from_u64(seed);
@@ -120,7 +121,9 @@
             may_preempt: false,
             spread: random.random(),
         };
-        let TrackerReply::Send { server, .. } = tracker.reserve_server(at(millis), &query) else { panic!("no advice") };
+        let TrackerReply::Send { server, .. } = tracker.reserve_server(at(millis), &query) else {
+            panic!("no server reserved")
+        };
         let number = (0..SERVERS).find(|number| key(*number) == server).expect("a server");
         let work = STEP.as_secs_f64() * 1000.0 * f64::from(PIECES);
         running.entry(number).or_default().push((millis, millis, work));
@@ -154,7 +157,7 @@
         tracker.note_peer_changes(at(millis), FRONT, number, vec![share]);
     };
     tracker.note_peer(at(0), FRONT, 1, Default::default());
-    // Slow for half a second in six, told each 20 ms.
+    // Slow for half a second in every three seconds, reported every 20 ms.
     for number in 0..1500_u64 {
         let percent = if (number * 20) % 3000 < 500 { 250 } else { 100 };
         report(&mut tracker, number + 2, number * 20, percent);
@@ -162,12 +165,16 @@
     report(&mut tracker, 2000, 30_000, 250);
     let factor = |millis| {
         let reports = tracker.reports(at(millis));
-        reports.iter().find(|report| &*report.id == "server-0").and_then(|report| report.time_factor).expect("told")
+        reports
+            .iter()
+            .find(|report| &*report.id == "server-0")
+            .and_then(|report| report.time_factor)
+            .expect("a time factor")
     };
     let (fresh, later, old) = (factor(30_010), factor(30_300), factor(33_000));
     assert!(fresh > 2.0, "{fresh}");
     assert!(later < fresh, "{later} {fresh}");
-    assert!(old < 1.5, "only what is usual is left: {old}");
+    assert!(old < 1.5, "only the mean is left: {old}");
 }
 
 #[test]
