--- a/crates/core/src/dispatch/tracker.rs
+++ b/crates/core/src/dispatch/tracker.rs
@@ -73,7 +73,7 @@
     TracksNone,
 }
 
-/// Servers that this node tracks, and changes that it has to send to the trackers of others.
+/// Servers that this node tracks, and changes that it has to send to other trackers.
 #[derive(Debug, Default)]
 pub(super) struct TrackedServers {
     /// Tracked servers by the hash of the service name.
