--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -79,7 +79,7 @@
     }
 
     /// An attempt failed with `left` until the request's time is over.
-    pub fn after(&mut self, failure: AttemptFailure, left: Duration) -> NextStep {
+    pub fn note_failure(&mut self, failure: AttemptFailure, left: Duration) -> NextStep {
         match failure {
             AttemptFailure::NotSent | AttemptFailure::NotRun => self.uncounted += 1,
             AttemptFailure::MayHaveRun | AttemptFailure::Lost => {
--- a/crates/core/src/quarantine/entries.rs
+++ b/crates/core/src/quarantine/entries.rs
@@ -56,7 +56,7 @@
 
 /// What ended because a request ran to its end.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum WatchEnd {
+pub enum ClearedState {
     /// It had been suspected.
     Suspicion,
     /// It had been quarantined; this verdict lifts that.
@@ -77,7 +77,7 @@
 
 impl Quarantine {
     /// Whether anything is known of requests of this shape. Costs one look-up.
-    pub fn concerns(&self, shape: RequestShape) -> bool {
+    pub fn has_shape(&self, shape: RequestShape) -> bool {
         self.shapes.contains_key(&shape)
     }
 
@@ -185,11 +185,11 @@
     }
 
     /// A request ran to its end: whatever was held against it ends.
-    pub fn note_success(&mut self, request: Fingerprint, now: WallTime) -> Option<WatchEnd> {
+    pub fn note_success(&mut self, request: Fingerprint, now: WallTime) -> Option<ClearedState> {
         let suspected = self.unwatch(request);
         match self.lift(request, now) {
-            Some(verdict) => Some(WatchEnd::Lifted(verdict)),
-            None => suspected.then_some(WatchEnd::Suspicion),
+            Some(verdict) => Some(ClearedState::Lifted(verdict)),
+            None => suspected.then_some(ClearedState::Suspicion),
         }
     }
 
@@ -202,19 +202,19 @@
     }
 
     /// All verdicts that are to be remembered.
-    pub fn verdicts(&self, now: WallTime) -> impl Iterator<Item = &QuarantineEntry> {
+    pub fn entries(&self, now: WallTime) -> impl Iterator<Item = &QuarantineEntry> {
         self.verdicts.values().filter(move |verdict| is_remembered(verdict, now))
     }
 
     /// One verdict.
-    pub fn verdict(&self, request: Fingerprint) -> Option<&QuarantineEntry> {
+    pub fn entry(&self, request: Fingerprint) -> Option<&QuarantineEntry> {
         self.verdicts.get(&request)
     }
 
     /// A number that is the same at nodes with the same verdicts to remember; zero
     /// without any.
     pub fn digest(&self, now: WallTime) -> u64 {
-        let each = self.verdicts(now).map(|verdict| {
+        let each = self.entries(now).map(|verdict| {
             let Fingerprint(fingerprint) = verdict.request.fingerprint;
             let folded = (fingerprint >> 64) as u64 ^ fingerprint as u64;
             stable_pair_hash(folded, verdict.changed_at.0)
--- a/crates/core/src/quarantine/evidence.rs
+++ b/crates/core/src/quarantine/evidence.rs
@@ -155,7 +155,7 @@
 
     /// How many servers have ended under a request, if it is to be held while the last end
     /// is weighed.
-    pub fn ends_to_hold(&self, request: Fingerprint) -> Option<usize> {
+    pub fn crashes_for_hold(&self, request: Fingerprint) -> Option<usize> {
         let counts = |crash: &&Crash| !crash.explained && !crash.lost;
         let ran_there = |crash: &&Crash| crash.requests.iter().any(|present| present.fingerprint == request);
         let ends = self.crashes.values().filter(counts).filter(ran_there).count();
@@ -176,7 +176,7 @@
 
     /// A request was quarantined elsewhere: the ends of these servers, and of all under
     /// which it ran, are explained.
-    pub fn note_verdict(&mut self, request: Fingerprint, servers: &[ServerKey]) {
+    pub fn note_quarantined(&mut self, request: Fingerprint, servers: &[ServerKey]) {
         for (server, crash) in &mut self.crashes {
             let ran_there = crash.requests.iter().any(|present| present.fingerprint == request);
             crash.explained |= ran_there || servers.contains(server);
@@ -197,7 +197,7 @@
             }
             for request in causes {
                 let servers: Vec<ServerKey> = suspects[&request].servers.iter().copied().collect();
-                self.note_verdict(request.fingerprint, &servers);
+                self.note_quarantined(request.fingerprint, &servers);
                 decisions.quarantine.push((request, servers));
             }
         }
--- a/crates/core/src/quarantine/holds.rs
+++ b/crates/core/src/quarantine/holds.rs
@@ -15,7 +15,7 @@
 pub const HOLD_TIME: Duration = Duration::from_millis(500);
 /// Time for which other copies wait for the fate of one that was sent: a request that ends
 /// its servers does so soon, and a harmless one is not to be held for long.
-pub const RUN_TIME: Duration = Duration::from_secs(1);
+pub const RUN_HOLD_TIME: Duration = Duration::from_secs(1);
 /// Time for which copies run one after the other once they were held.
 const REMEMBERED: Duration = Duration::from_secs(60);
 /// Requests that are held or remembered at a time.
@@ -58,14 +58,14 @@
             return;
         }
         let hold = self.held.entry(request).or_insert(Hold { ends: 0, until: now });
-        hold.until = hold.until.max(now + RUN_TIME);
+        hold.until = hold.until.max(now + RUN_HOLD_TIME);
     }
 
     /// A copy is to be sent now. All others wait for its fate if this gives back `true`.
     pub(super) fn begin_run(&mut self, request: Fingerprint, now: Instant) -> bool {
         self.forget_old(now);
         let Some(hold) = self.held.get_mut(&request) else { return false };
-        hold.until = hold.until.max(now + RUN_TIME);
+        hold.until = hold.until.max(now + RUN_HOLD_TIME);
         true
     }
 
--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -27,6 +27,8 @@
 mod evidence;
 mod holds;
 
-pub use entries::{Quarantine, QuarantineEntry, QuarantineStatus, WatchEnd, QUARANTINE_LIMIT, QUARANTINE_RETENTION};
+pub use entries::{
+    ClearedState, Quarantine, QuarantineEntry, QuarantineStatus, QUARANTINE_LIMIT, QUARANTINE_RETENTION,
+};
 pub use evidence::{CrashEvidence, Decisions, CRASHES_TO_QUARANTINE};
-pub use holds::{HOLD_LIMIT, HOLD_TIME, RUN_TIME};
+pub use holds::{HOLD_LIMIT, HOLD_TIME, RUN_HOLD_TIME};
--- a/crates/core/tests/attempts.rs
+++ b/crates/core/tests/attempts.rs
@@ -14,22 +14,26 @@
 fn a_request_that_may_have_run_is_not_repeated_unless_its_kind_allows() {
     for kind in [RequestKind::AtMostOnce, STREAM, RequestKind::Batch] {
         let mut attempts = Attempts::new(kind, 3);
-        let step = attempts.after(AttemptFailure::MayHaveRun, TIME);
+        let step = attempts.note_failure(AttemptFailure::MayHaveRun, TIME);
         assert_eq!(step, NextStep::GiveUp(ResultCode::OutcomeUnknown), "{kind:?}");
     }
     for kind in [RequestKind::Idempotent, RESUMABLE] {
-        assert_eq!(Attempts::new(kind, 2).after(AttemptFailure::MayHaveRun, TIME), NextStep::TryAgain, "{kind:?}");
+        assert_eq!(
+            Attempts::new(kind, 2).note_failure(AttemptFailure::MayHaveRun, TIME),
+            NextStep::TryAgain,
+            "{kind:?}"
+        );
     }
 }
 
 #[test]
 fn a_request_that_surely_did_not_run_goes_to_another_server_whatever_its_kind() {
     let mut attempts = Attempts::new(STREAM, 1);
-    assert_eq!(attempts.after(AttemptFailure::NotRun, TIME), NextStep::TryAgain);
-    assert_eq!(attempts.after(AttemptFailure::NotSent, TIME), NextStep::TryAgain);
-    assert_eq!(attempts.after(AttemptFailure::NotRun, TIME), NextStep::TryAgain);
+    assert_eq!(attempts.note_failure(AttemptFailure::NotRun, TIME), NextStep::TryAgain);
+    assert_eq!(attempts.note_failure(AttemptFailure::NotSent, TIME), NextStep::TryAgain);
+    assert_eq!(attempts.note_failure(AttemptFailure::NotRun, TIME), NextStep::TryAgain);
     assert_eq!(
-        attempts.after(AttemptFailure::NotRun, TIME),
+        attempts.note_failure(AttemptFailure::NotRun, TIME),
         NextStep::GiveUp(ResultCode::EngineUnreachable),
         "attempts that were not run have a bound too"
     );
@@ -38,7 +42,7 @@
 #[test]
 fn no_attempt_follows_when_the_time_is_over() {
     let mut attempts = Attempts::new(RequestKind::Idempotent, 5);
-    assert!(matches!(attempts.after(AttemptFailure::MayHaveRun, Duration::ZERO), NextStep::GiveUp(_)));
+    assert!(matches!(attempts.note_failure(AttemptFailure::MayHaveRun, Duration::ZERO), NextStep::GiveUp(_)));
 }
 
 /// A request that loses two servers is not sent to a third; silence of servers has the
@@ -46,11 +50,11 @@
 #[test]
 fn a_request_loses_two_servers_at_most() {
     let mut attempts = Attempts::new(RequestKind::Idempotent, 5);
-    assert_eq!(attempts.after(AttemptFailure::Lost, TIME), NextStep::TryAgain);
-    assert_eq!(attempts.after(AttemptFailure::MayHaveRun, TIME), NextStep::TryAgain);
-    assert_eq!(attempts.after(AttemptFailure::Lost, TIME), NextStep::GiveUp(ResultCode::OutcomeUnknown));
+    assert_eq!(attempts.note_failure(AttemptFailure::Lost, TIME), NextStep::TryAgain);
+    assert_eq!(attempts.note_failure(AttemptFailure::MayHaveRun, TIME), NextStep::TryAgain);
+    assert_eq!(attempts.note_failure(AttemptFailure::Lost, TIME), NextStep::GiveUp(ResultCode::OutcomeUnknown));
     let mut once = Attempts::new(RequestKind::AtMostOnce, 5);
-    assert_eq!(once.after(AttemptFailure::Lost, TIME), NextStep::GiveUp(ResultCode::OutcomeUnknown));
+    assert_eq!(once.note_failure(AttemptFailure::Lost, TIME), NextStep::GiveUp(ResultCode::OutcomeUnknown));
 }
 
 #[test]
@@ -60,10 +64,10 @@
     attempts.note_withdrawn();
     assert!(!attempts.may_repeat());
     assert_eq!(attempts.result_code(ResultCode::CrowdedOut), ResultCode::OutcomeUnknown);
-    assert_eq!(attempts.after(AttemptFailure::Lost, TIME), NextStep::GiveUp(ResultCode::OutcomeUnknown));
+    assert_eq!(attempts.note_failure(AttemptFailure::Lost, TIME), NextStep::GiveUp(ResultCode::OutcomeUnknown));
     let mut attempts = Attempts::new(RESUMABLE, 3);
     attempts.note_withdrawn();
-    assert_eq!(attempts.after(AttemptFailure::Lost, TIME), NextStep::TryAgain);
+    assert_eq!(attempts.note_failure(AttemptFailure::Lost, TIME), NextStep::TryAgain);
 }
 
 fn failure() -> impl Strategy<Value = AttemptFailure> {
@@ -89,7 +93,7 @@
         let mut may_have_run = 0;
         for failure in failures {
             may_have_run += u32::from(matches!(failure, AttemptFailure::MayHaveRun | AttemptFailure::Lost));
-            match attempts.after(failure, TIME) {
+            match attempts.note_failure(failure, TIME) {
                 NextStep::TryAgain => prop_assert!(may_have_run < limit.max(1), "the route's limit holds"),
                 NextStep::GiveUp(code) => {
                     prop_assert_eq!(matches!(code.http_status(), 429 | 503), may_have_run == 0);
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -4,7 +4,7 @@
 use latchwheel_core::dispatch::ServerKey;
 use latchwheel_core::fingerprint::{Fingerprint, RequestContent, RequestKey, RequestShape};
 use latchwheel_core::quarantine::{
-    CrashEvidence, Decisions, Quarantine, QuarantineEntry, QuarantineStatus, WatchEnd, QUARANTINE_LIMIT,
+    ClearedState, CrashEvidence, Decisions, Quarantine, QuarantineEntry, QuarantineStatus, QUARANTINE_LIMIT,
 };
 use latchwheel_core::time::{Instant, WallTime};
 use rand::rngs::SmallRng;
@@ -147,7 +147,7 @@
 fn a_verdict_of_another_node_explains_the_same_ends() {
     let mut evidence = evidence(&[&[2], &[2], &[2, 1]]);
     // This node did not hear that the other ran at the first two.
-    evidence.note_verdict(request(1).fingerprint, &[ServerKey(0), ServerKey(1)]);
+    evidence.note_quarantined(request(1).fingerprint, &[ServerKey(0), ServerKey(1)]);
     assert_eq!(quarantined(&evidence.decide(LATER, free)), NONE);
 }
 
@@ -206,7 +206,9 @@
     assert!(other.merge(verdict.clone(), NOW));
     assert!(!other.merge(verdict.clone(), NOW), "told twice");
     assert_eq!(own.digest(NOW), other.digest(NOW));
-    let Some(WatchEnd::Lifted(lifted)) = own.note_success(request(1).fingerprint, NOW) else { panic!("not lifted") };
+    let Some(ClearedState::Lifted(lifted)) = own.note_success(request(1).fingerprint, NOW) else {
+        panic!("not lifted")
+    };
     assert_ne!(own.digest(NOW), other.digest(NOW));
     assert!(other.merge(lifted, NOW));
     assert_eq!(other.status(request(1).fingerprint, NOW), QuarantineStatus::Free);
@@ -220,14 +222,14 @@
     let content = |path, body| RequestContent { method: "POST", host: b"h", target: path, caller: b"", body };
     let mut quarantine = Quarantine::default();
     let known = content("/a", b"body").key();
-    assert!(!quarantine.concerns(known.shape));
+    assert!(!quarantine.has_shape(known.shape));
     assert!(quarantine.watch(known, at(0)));
-    assert!(quarantine.concerns(content("/a", b"ydob").shape()));
-    assert!(!quarantine.concerns(content("/a", b"longer").shape()));
-    assert!(!quarantine.concerns(content("/b", b"body").shape()));
+    assert!(quarantine.has_shape(content("/a", b"ydob").shape()));
+    assert!(!quarantine.has_shape(content("/a", b"longer").shape()));
+    assert!(!quarantine.has_shape(content("/b", b"body").shape()));
     assert_eq!(quarantine.note_success(content("/a", b"ydob").key().fingerprint, NOW), None);
-    assert_eq!(quarantine.note_success(known.fingerprint, NOW), Some(WatchEnd::Suspicion));
-    assert!(!quarantine.concerns(known.shape));
+    assert_eq!(quarantine.note_success(known.fingerprint, NOW), Some(ClearedState::Suspicion));
+    assert!(!quarantine.has_shape(known.shape));
 }
 
 #[test]
@@ -256,12 +258,12 @@
         quarantine.impose(request(number), Vec::new(), now);
         quarantine.watch(request(number + 1_000_000), at(number));
     }
-    assert_eq!(quarantine.verdicts(NOW).count(), QUARANTINE_LIMIT);
+    assert_eq!(quarantine.entries(NOW).count(), QUARANTINE_LIMIT);
     let newest = request(QUARANTINE_LIMIT as u64 * 3 - 1).fingerprint;
     assert_eq!(quarantine.status(newest, NOW + Duration::from_secs(4)), QuarantineStatus::Quarantined);
     // What is over is forgotten in the end, and nodes don't differ by it.
     assert_eq!(quarantine.digest(NOW + HOUR * 48), 0);
-    let late = QuarantineEntry { changed_at: NOW, until: NOW, ..quarantine.verdict(newest).unwrap().clone() };
+    let late = QuarantineEntry { changed_at: NOW, until: NOW, ..quarantine.entry(newest).unwrap().clone() };
     assert!(!Quarantine::default().merge(late, NOW + HOUR * 48));
 }
 
@@ -373,7 +375,7 @@
     fn restart_nodes(&mut self) {
         let wall = self.wall();
         let mut restored = Quarantine::default();
-        for verdict in self.quarantine.verdicts(wall) {
+        for verdict in self.quarantine.entries(wall) {
             restored.merge(verdict.clone(), wall);
         }
         self.quarantine = restored;
@@ -416,7 +418,7 @@
     /// Requests wait while the last end of a server under them is weighed.
     fn hold(&mut self, number: u64) {
         let request = request(number);
-        let ends = self.evidence.ends_to_hold(request.fingerprint).filter(|_| self.way == Way::Weighed);
+        let ends = self.evidence.crashes_for_hold(request.fingerprint).filter(|_| self.way == Way::Weighed);
         if let Some(ends) = ends {
             self.quarantine.hold(request, ends, at(self.now));
         }
--- a/crates/core/tests/quarantine_holds.rs
+++ b/crates/core/tests/quarantine_holds.rs
@@ -2,7 +2,7 @@
 
 use latchwheel_core::dispatch::ServerKey;
 use latchwheel_core::fingerprint::{Fingerprint, RequestKey, RequestShape};
-use latchwheel_core::quarantine::{CrashEvidence, Quarantine, QuarantineStatus, HOLD_LIMIT, HOLD_TIME, RUN_TIME};
+use latchwheel_core::quarantine::{CrashEvidence, Quarantine, QuarantineStatus, HOLD_LIMIT, HOLD_TIME, RUN_HOLD_TIME};
 use latchwheel_core::time::{Instant, WallTime};
 
 const NOW: WallTime = WallTime(1_000_000_000);
@@ -22,13 +22,13 @@
     let mut evidence = CrashEvidence::default();
     let key = request(1).fingerprint;
     for (server, milliseconds) in [0, 19, 212].into_iter().enumerate() {
-        assert_eq!(evidence.ends_to_hold(key), None);
+        assert_eq!(evidence.crashes_for_hold(key), None);
         evidence.note_crash(at(milliseconds), ServerKey(server as u32), &[request(1)], 0, |_| QuarantineStatus::Free);
     }
-    assert_eq!(evidence.ends_to_hold(key), Some(3));
+    assert_eq!(evidence.crashes_for_hold(key), Some(3));
     assert!(evidence.decide(at(700), |_| QuarantineStatus::Free).quarantine.is_empty());
     evidence.note_success(key);
-    assert_eq!(evidence.ends_to_hold(key), None);
+    assert_eq!(evidence.crashes_for_hold(key), None);
 }
 
 #[test]
@@ -54,7 +54,7 @@
     other.note_run(request(1), at(601));
     for node in [&own, &other] {
         assert!(node.hold_remaining(key, at(700)).is_some());
-        assert_eq!(node.hold_remaining(key, at(601) + RUN_TIME), None);
+        assert_eq!(node.hold_remaining(key, at(601) + RUN_HOLD_TIME), None);
     }
 }
 
@@ -63,7 +63,7 @@
     let mut quarantine = Quarantine::default();
     let key = request(1).fingerprint;
     quarantine.hold(request(1), 3, at(0));
-    assert!(quarantine.concerns(request(1).shape), "its good end is asked for");
+    assert!(quarantine.has_shape(request(1).shape), "its good end is asked for");
     quarantine.note_success(key, NOW);
     assert_eq!(quarantine.hold_remaining(key, at(1)), None);
     assert!(!quarantine.begin_run(key, at(1)));
--- a/crates/proxy/src/crashes/watch.rs
+++ b/crates/proxy/src/crashes/watch.rs
@@ -5,7 +5,7 @@
 use latchwheel_clock::Clock;
 use latchwheel_core::dispatch::ServerKey;
 use latchwheel_core::fingerprint::{Fingerprint, RequestContent, RequestKey};
-use latchwheel_core::quarantine::{CrashEvidence, Quarantine, QuarantineEntry, WatchEnd};
+use latchwheel_core::quarantine::{ClearedState, CrashEvidence, Quarantine, QuarantineEntry};
 use latchwheel_core::time::{Instant, WallTime};
 use latchwheel_events::{emit, Event};
 use latchwheel_protocol::v1;
@@ -113,7 +113,7 @@
     /// The request and the time for which it is not to be sent to any server; `None` if
     /// it may be. The body is read only if something is known of requests of its shape.
     pub fn quarantine_remaining(&self, content: &RequestContent<'_>) -> Option<(Fingerprint, Duration)> {
-        if !self.lock().quarantine.concerns(content.shape()) {
+        if !self.lock().quarantine.has_shape(content.shape()) {
             return None;
         }
         let fingerprint = content.key().fingerprint;
@@ -123,13 +123,13 @@
 
     /// Whether anything is known of requests of this shape.
     pub(crate) fn concerns(&self, content: &RequestContent<'_>) -> bool {
-        self.lock().quarantine.concerns(content.shape())
+        self.lock().quarantine.has_shape(content.shape())
     }
 
     /// The request and the time for which it waits until the ends of servers under it are
     /// weighed; `None` if it may be sent.
     pub fn hold_remaining(&self, content: &RequestContent<'_>) -> Option<(Fingerprint, Duration)> {
-        if !self.lock().quarantine.concerns(content.shape()) {
+        if !self.lock().quarantine.has_shape(content.shape()) {
             return None;
         }
         let fingerprint = content.key().fingerprint;
@@ -141,7 +141,7 @@
     /// copies until its fate is known if it is suspected. Otherwise what
     /// [`CrashWatch::hold_remaining`] gives back.
     pub fn begin_run(&self, content: &RequestContent<'_>) -> Option<(Fingerprint, Duration)> {
-        if !self.lock().quarantine.concerns(content.shape()) {
+        if !self.lock().quarantine.has_shape(content.shape()) {
             return None;
         }
         let (request, now) = (content.key(), self.clock.now());
@@ -161,13 +161,13 @@
     pub fn quarantined(&self) -> Vec<RequestKey> {
         let now = self.clock.wall_time();
         let state = self.lock();
-        let verdicts = state.quarantine.verdicts(now).filter(|verdict| !verdict.lifted && now < verdict.until);
+        let verdicts = state.quarantine.entries(now).filter(|verdict| !verdict.lifted && now < verdict.until);
         verdicts.map(|verdict| verdict.request).collect()
     }
 
     /// A server ran a request to its end and said so.
     pub fn note_served(&self, content: &RequestContent<'_>) {
-        if !self.lock().quarantine.concerns(content.shape()) {
+        if !self.lock().quarantine.has_shape(content.shape()) {
             return;
         }
         let request = content.key();
@@ -261,7 +261,7 @@
         if verdict.lifted {
             state.evidence.note_success(request);
         } else {
-            state.evidence.note_verdict(request, &verdict.servers);
+            state.evidence.note_quarantined(request, &verdict.servers);
         }
         log_verdict(&verdict, source, wall);
         if source == VerdictSource::Node && state.rank.hears_all {
@@ -333,7 +333,7 @@
         if now < state.table_rests_until || state.quarantine.digest(wall) == digest {
             return Vec::new();
         }
-        let messages = table_messages(state.quarantine.verdicts(wall));
+        let messages = table_messages(state.quarantine.entries(wall));
         state.table_rests_until = now + TABLE_PAUSE * messages.len() as u32;
         messages
     }
@@ -381,7 +381,7 @@
 
     /// Holds a request, here and at all nodes, until its last end is weighed.
     fn hold(&mut self, now: Instant, request: &RequestKey) {
-        let Some(ends) = self.evidence.ends_to_hold(request.fingerprint) else { return };
+        let Some(ends) = self.evidence.crashes_for_hold(request.fingerprint) else { return };
         let is_news = self.quarantine.hold(*request, ends, now);
         if is_news && self.rank.hears_all && self.rank.place < HOLD_TELLERS {
             self.outbox.put_hold(now, request, ends);
@@ -392,8 +392,8 @@
     fn clear(&mut self, now: Instant, wall: WallTime, request: &RequestKey, source: VerdictSource) -> Option<Cleared> {
         self.evidence.note_success(request.fingerprint);
         match self.quarantine.note_success(request.fingerprint, wall)? {
-            WatchEnd::Suspicion => Some(Cleared::OfSuspicion),
-            WatchEnd::Lifted(verdict) => {
+            ClearedState::Suspicion => Some(Cleared::OfSuspicion),
+            ClearedState::Lifted(verdict) => {
                 log_verdict(&verdict, source, wall);
                 self.outbox.put_verdict(now, &verdict);
                 self.to_store.insert(request.fingerprint, now);
@@ -426,7 +426,7 @@
     /// A verdict stands in the store.
     fn note_stored(&mut self, verdict: &QuarantineEntry) {
         let request = verdict.request.fingerprint;
-        let known = self.quarantine.verdict(request);
+        let known = self.quarantine.entry(request);
         if known.is_none_or(|known| known.changed_at <= verdict.changed_at) {
             self.to_store.remove(&request);
         }
@@ -441,7 +441,7 @@
                 return Err(Some(due));
             }
             self.to_store.remove(&request);
-            if let Some(verdict) = self.quarantine.verdict(request) {
+            if let Some(verdict) = self.quarantine.entry(request) {
                 return Ok(verdict.clone());
             }
         }
--- a/crates/proxy/src/forward.rs
+++ b/crates/proxy/src/forward.rs
@@ -195,7 +195,7 @@
         reason: &str,
     ) -> NextStep {
         let attempt = self.attempts.made() + 1;
-        let step = self.attempts.after(failure, self.left());
+        let step = self.attempts.note_failure(failure, self.left());
         let after_ms = self.shared.clock.now().since(sent_at).as_millis() as u64;
         let goes_on = step == NextStep::TryAgain;
         emit(&self.id, &Event::AttemptFailed { id: &self.id, server, attempt, reason, after_ms, goes_on });
