--- a/crates/core/src/attempts.rs
+++ b/crates/core/src/attempts.rs
@@ -1,46 +1,47 @@
-//! What follows an attempt that did not bring an answer.
+//! Decides what follows an attempt that failed.
 //!
-//! Of an attempt that was surely not run another server may be asked, whatever
-//! the request's kind. One that may have run is repeated only where the kind
-//! allows it; of all others the caller is told at once that the outcome can't
-//! be known. A refusal (`not-run`) is said only if no attempt can have run.
+//! An attempt that certainly did not run may be retried at another server for all kinds of
+//! requests. One that may have run is retried only if the kind allows it; otherwise the
+//! caller receives the code for an unknown outcome. A refusal (`not-run`) is returned only
+//! if no attempt can have run.
 
 use crate::code::ResultCode;
 use crate::routes::RequestKind;
 use std::time::Duration;
 
-/// Attempts that were surely not run and don't count against a route's limit.
+/// Maximum number of retries after attempts that certainly did not run. They don't count
+/// against the limit of the route.
 const MAX_UNCOUNTED_ATTEMPTS: u32 = 3;
-/// Servers that may be lost under one request. Requests that are cut together look for
-/// servers together: one more attempt would bring another server's end upon those that
-/// ran beside the cause, and hold it against them (`core/tests/quarantine.rs`).
+/// Maximum number of servers lost under one request. Requests interrupted together are often
+/// retried at the same server, so a further attempt could count another crash against
+/// requests that only ran with the cause.
 const MAX_LOST_SERVERS: u32 = 2;
-/// Time below which no further attempt is worth making.
+/// Minimum time left for a further attempt.
 const MIN_TIME_LEFT: Duration = Duration::from_millis(20);
 
 /// How an attempt ended without an answer for the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptFailure {
-    /// No connection: no byte of the request left.
+    /// No connection: no byte of the request was sent.
     NotSent,
-    /// The server said that it did not run it.
+    /// The server reported that it did not run the request.
     NotRun,
-    /// It may have run, and no server works on it any more as far as known.
+    /// The request may have run; no server is assumed to be still running it.
     MayHaveRun,
-    /// The same, and the connection was lost while the server worked on it.
+    /// The request may have run; the connection was lost while the server ran it.
     Lost,
 }
 
-/// What to do next.
+/// Next step after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// Ask another server.
+    /// Send the request to another server.
     TryAgain,
-    /// Give the caller this answer now.
+    /// Answer the caller with this code.
     GiveUp(ResultCode),
 }
 
-/// The attempts of one request.
+/// Attempts of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Attempts {
     kind: RequestKind,
@@ -52,33 +53,33 @@
 }
 
 impl Attempts {
-    /// No attempt was made yet; the route allows `limit`.
+    /// Starts without attempts; the route allows `limit`, at least one.
     pub fn new(kind: RequestKind, limit: u32) -> Self {
         Self { kind, limit: limit.max(1), counted: 0, uncounted: 0, lost: 0, may_have_run: false }
     }
 
-    /// Attempts made so far, of any outcome.
+    /// Number of attempts that have ended.
     pub fn made(&self) -> u32 {
         self.counted + self.uncounted
     }
 
-    /// Whether one more attempt could follow if the present one fails after
-    /// it was sent.
+    /// Whether another attempt could follow if the current one failed after it was sent.
     pub fn may_repeat(&self) -> bool {
         self.may_repeat_with_others(0)
     }
 
-    /// The same for an attempt with so many others in progress beside it.
+    /// Like [`Self::may_repeat`], with `others` further attempts in progress.
     pub fn may_repeat_with_others(&self, others: u32) -> bool {
         self.kind.is_repeatable() && self.counted + 1 + others < self.limit
     }
 
-    /// Whether any attempt so far may have run.
+    /// Whether any attempt may have run.
     pub fn may_have_run(&self) -> bool {
         self.may_have_run
     }
 
-    /// An attempt failed with `left` until the request's time is over.
+    /// Records a failed attempt and returns the next step; `left` is the time until the
+    /// deadline of the request.
     pub fn note_failure(&mut self, failure: AttemptFailure, left: Duration) -> NextStep {
         match failure {
             AttemptFailure::NotSent | AttemptFailure::NotRun => self.uncounted += 1,
@@ -99,14 +100,14 @@
         NextStep::GiveUp(self.result_code(ResultCode::EngineUnreachable))
     }
 
-    /// An attempt was withdrawn because another one brought its first piece. It may have
-    /// run, and its server is one of those to which the request was sent.
+    /// Records that an attempt was withdrawn because another one delivered its first piece. It
+    /// may have run, and counts against the limit of the route.
     pub fn note_withdrawn(&mut self) {
         self.counted += 1;
         self.may_have_run = true;
     }
 
-    /// The code to tell the caller: `not_run` unless an attempt may have run.
+    /// Result code for the caller: `not_run` unless an attempt may have run.
     pub fn result_code(&self, not_run: ResultCode) -> ResultCode {
         if self.may_have_run {
             ResultCode::OutcomeUnknown
--- a/crates/core/src/fingerprint.rs
+++ b/crates/core/src/fingerprint.rs
@@ -1,16 +1,15 @@
-//! What stays the same when a request comes again.
+//! Identification of retried requests by their content.
 //!
-//! Each attempt of a client has an identity of its own. Whether two of them are the
-//! same request shows in their content alone: method, host, target, caller and body.
-//! The content is kept as a digest, so that no log line, message or record shows a
-//! caller's key or a body.
+//! Each attempt of a client has its own identity, so a retry is recognised by its content:
+//! method, host, target, caller and body. Only a digest of the content is stored, so that no
+//! log line, message or record contains a caller's key or a body.
 
 use crate::identity::stable_hash;
 use sha2::{Digest, Sha256};
 use std::fmt::{Debug, Display, Formatter};
 
-/// Digest of a request's content: the first 128 bits of a SHA-256 sum, so that nobody
-/// can make a request whose digest is that of another caller's.
+/// Digest of a request's content: the first 128 bits of its SHA-256 sum, so that no caller
+/// can construct a request with the digest of another caller's request.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Fingerprint(pub u128);
 
@@ -34,48 +33,48 @@
     }
 }
 
-/// A hash of what can be told of a request without reading its body. Requests of
-/// different shapes are different; those of one shape may be.
+/// Hash of a request's properties other than the bytes of its body. Requests with different
+/// shapes have different content; requests with equal shapes may differ.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestShape(pub u64);
 
-/// A request by its content.
+/// Identifies a request by its content.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RequestKey {
-    /// Shape, by which most requests are known to be others without a digest.
+    /// Shape, a cheap test that rules out most other requests.
     pub shape: RequestShape,
     /// Digest of the content.
     pub fingerprint: Fingerprint,
 }
 
-/// The content of a request.
+/// Content of a request.
 #[derive(Clone, Copy)]
 pub struct RequestContent<'a> {
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Host that it names.
+    /// Requested host.
     pub host: &'a [u8],
     /// Path and query.
     pub target: &'a str,
-    /// Who sends it: a tenant's name or what the caller shows instead; may be empty.
+    /// Name of the tenant, or other credentials of the caller; may be empty.
     pub caller: &'a [u8],
-    /// Whole body.
+    /// Complete body.
     pub body: &'a [u8],
 }
 
 impl RequestContent<'_> {
-    /// Its shape; costs the same for any length of the body.
+    /// Computes the shape in time independent of the length of the body.
     pub fn shape(&self) -> RequestShape {
         let length = (self.body.len() as u64).to_le_bytes();
         let parts = [self.method.as_bytes(), self.host, self.target.as_bytes(), self.caller, &length];
         RequestShape(stable_hash(&parts.map(stable_hash).map(u64::to_le_bytes).concat()))
     }
 
-    /// Its shape and digest; reads the whole body.
+    /// Computes the shape and the digest; reads the complete body.
     pub fn key(&self) -> RequestKey {
         let mut digest = Sha256::new();
         for part in [self.method.as_bytes(), self.host, self.target.as_bytes(), self.caller, self.body] {
-            // The length keeps apart contents whose parts are divided in another way.
+            // The length distinguishes contents whose parts are divided differently.
             digest.update((part.len() as u64).to_le_bytes());
             digest.update(part);
         }
--- a/crates/core/src/quarantine/entries.rs
+++ b/crates/core/src/quarantine/entries.rs
@@ -1,4 +1,4 @@
-//! Verdicts as every node keeps them.
+//! Quarantine entries, as stored by every node.
 
 use super::holds::Holds;
 use crate::dispatch::ServerKey;
@@ -8,80 +8,80 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Length of a first quarantine; each further one of the same request is so many times
-/// as long. A request that ends every server runs three more times in a day so, after
-/// 10, 70 and 430 minutes: operators allow three retries (rule BUDGET).
+/// Length of the first quarantine of a request. With the factor below, a request that
+/// crashes every server runs at most three more times within a day.
 const FIRST_QUARANTINE: Duration = Duration::from_secs(600);
+/// Ratio of the lengths of consecutive quarantines of a request.
 const QUARANTINE_FACTOR: u32 = 6;
 const MAX_QUARANTINE: Duration = Duration::from_secs(24 * 3600);
-/// Time after its end for which a verdict is remembered, so that a request that goes on
-/// to end servers is known at once.
+/// Time for which an expired entry is retained, so that one more crash is enough to
+/// quarantine the request again.
 pub const QUARANTINE_RETENTION: Duration = Duration::from_secs(24 * 3600);
-/// Verdicts that are kept at most; beyond it those that end first are dropped.
+/// Maximum number of entries. Lifted entries are dropped first, then those that expire first.
 pub const QUARANTINE_LIMIT: usize = 1024;
-/// Requests that are watched at most, and for how long.
+/// Maximum number of watched requests.
 const WATCH_LIMIT: usize = 1024;
+/// Time for which a request is watched after its last crash report.
 const WATCH_TTL: Duration = Duration::from_secs(3600);
-/// Servers that are named in a verdict at most.
 const MAX_SERVERS_PER_ENTRY: usize = 8;
 
-/// What was decided about a request. Of two verdicts on one request the one that was
-/// changed last holds.
+/// Quarantine of one request. Of two entries for the same request, the one changed last
+/// applies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct QuarantineEntry {
-    /// The request.
+    /// Quarantined request.
     pub request: RequestKey,
-    /// When it was decided or lifted.
+    /// Time at which the request was quarantined or the quarantine was lifted.
     pub changed_at: WallTime,
     /// End of the quarantine.
     pub until: WallTime,
-    /// How often the request was quarantined.
+    /// Number of times the request was quarantined.
     pub offences: u32,
-    /// The request ran to its end after all, or an operator let it go.
+    /// Whether the request has succeeded since, or an operator released it.
     pub lifted: bool,
-    /// Servers that ended under it: no other request is held to have ended these.
+    /// Servers that the request crashed. Their crashes count against no other request.
     pub servers: Vec<ServerKey>,
 }
 
-/// How a request stands.
+/// Whether a request may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuarantineStatus {
-    /// Nothing was decided about it, or the verdict was lifted.
+    /// The request has no entry, or its entry was lifted.
     Free,
-    /// It is not to be sent to any server.
+    /// The request must not be sent to any server.
     Quarantined,
-    /// Its quarantine is over, and nothing has shown that it is harmless now.
+    /// The quarantine has expired, and the request has not succeeded since.
     OnProbation,
 }
 
-/// What ended because a request ran to its end.
+/// State that a successful run of a request cleared.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClearedState {
-    /// It had been suspected.
+    /// The request was watched.
     Suspicion,
-    /// It had been quarantined; this verdict lifts that.
+    /// The request was quarantined; contains the lifted entry.
     Lifted(QuarantineEntry),
 }
 
-/// The verdicts that a node knows, and the requests that are suspected.
+/// The quarantine entries of a node, and the requests that it watches.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     entries: HashMap<Fingerprint, QuarantineEntry>,
-    /// Requests whose good end has to be told, and since when.
+    /// Requests whose success must be reported, with the time of their last crash report.
     watched: HashMap<Fingerprint, (RequestKey, Instant)>,
-    /// Requests that wait for a verdict; each of them is watched.
+    /// Requests held while a crash is evaluated. Each of them is watched.
     holds: Holds,
-    /// Number of verdicts and watched requests by shape.
+    /// Number of entries and watched requests by shape.
     shapes: HashMap<RequestShape, u32>,
 }
 
 impl Quarantine {
-    /// Whether anything is known of requests of this shape. Costs one look-up.
+    /// Whether any entry or watched request has this shape.
     pub fn has_shape(&self, shape: RequestShape) -> bool {
         self.shapes.contains_key(&shape)
     }
 
-    /// How a request stands.
+    /// Returns the quarantine status of a request.
     pub fn status(&self, request: Fingerprint, now: WallTime) -> QuarantineStatus {
         match self.entries.get(&request) {
             Some(entry) if entry.lifted => QuarantineStatus::Free,
@@ -91,37 +91,37 @@
         }
     }
 
-    /// Time for which a request is still not to be sent; `None` if it may be.
+    /// Remaining time of the quarantine of a request; `None` if it may be sent.
     pub fn quarantine_remaining(&self, request: Fingerprint, now: WallTime) -> Option<Duration> {
         let entry = self.entries.get(&request).filter(|entry| !entry.lifted)?;
         Some(entry.until.left_at(now)).filter(|left| !left.is_zero())
     }
 
-    /// Holds a request under which so many servers have ended until the last end is
-    /// weighed; `true` if that is news.
+    /// Holds a request that was running at `crashes` crashed servers until the last crash
+    /// is evaluated. Returns whether this starts or extends a hold.
     pub fn hold(&mut self, request: RequestKey, crashes: usize, now: Instant) -> bool {
         self.watch(request, now);
         self.holds.note_crashes(request.fingerprint, crashes, now)
     }
 
-    /// A copy of a request that was held is to be sent now; `true` if all other copies
-    /// have to wait for its fate, so that other nodes are to be told.
+    /// Records that this node sends a copy of a request. Returns `true` if the request was
+    /// held recently: all other copies wait then, and the other nodes must be notified.
     pub fn begin_run(&mut self, request: Fingerprint, now: Instant) -> bool {
         self.holds.begin_run(request, now)
     }
 
-    /// Another node has sent a copy of a request that was held.
+    /// Records that another node has sent a copy of a held request.
     pub fn note_run(&mut self, request: RequestKey, now: Instant) {
         self.watch(request, now);
         self.holds.note_run(request.fingerprint, now);
     }
 
-    /// Time for which a request waits for a verdict; `None` if it doesn't.
+    /// Remaining time for which a request is held; `None` if it is not held.
     pub fn hold_remaining(&self, request: Fingerprint, now: Instant) -> Option<Duration> {
         self.holds.remaining(request, now)
     }
 
-    /// Quarantines a request under which these servers ended.
+    /// Quarantines a request that crashed `servers`.
     pub fn impose(&mut self, request: RequestKey, mut servers: Vec<ServerKey>, now: WallTime) -> QuarantineEntry {
         let before = self.entries.get(&request.fingerprint).filter(|entry| !entry.lifted);
         let offences = before.map_or(0, |entry| entry.offences) + 1;
@@ -134,7 +134,8 @@
         entry
     }
 
-    /// Takes a verdict of another node or the store over if it is news.
+    /// Stores an entry from another node or the record store. Returns `false` if it has
+    /// expired or is not newer than the stored entry.
     pub fn merge(&mut self, mut entry: QuarantineEntry, now: WallTime) -> bool {
         let key = entry.request.fingerprint;
         if !is_retained(&entry, now) {
@@ -154,7 +155,8 @@
         true
     }
 
-    /// An operator lets a request go; gives back the verdict that says so.
+    /// Lifts the quarantine of a request. Returns the lifted entry, or `None` if the request
+    /// has no entry or the entry is already lifted.
     pub fn lift(&mut self, request: Fingerprint, now: WallTime) -> Option<QuarantineEntry> {
         let changed_at = self.next_change_time(request, now);
         let entry = self.entries.get_mut(&request).filter(|entry| !entry.lifted)?;
@@ -163,14 +165,15 @@
         Some(entry.clone())
     }
 
-    /// A time for a change that comes after the last one that is known, also where this
-    /// node's clock is behind the one that made it.
+    /// Time for the next change of an entry. It is later than the last change even if the
+    /// clock of this node is behind that of the node that made the last change.
     fn next_change_time(&self, request: Fingerprint, now: WallTime) -> WallTime {
         let latest = self.entries.get(&request).map(|entry| WallTime(entry.changed_at.0 + 1));
         latest.map_or(now, |latest| latest.max(now))
     }
 
-    /// The good end of this request has to be told; `true` if that is news.
+    /// Watches a request, so that its success is reported. Returns `false` if it was
+    /// already watched.
     pub fn watch(&mut self, request: RequestKey, now: Instant) -> bool {
         if let Some((_, since)) = self.watched.get_mut(&request.fingerprint) {
             *since = now;
@@ -184,7 +187,7 @@
         true
     }
 
-    /// A request ran to its end: whatever was held against it ends.
+    /// Records that a request succeeded: ends its hold and watch, and lifts its entry.
     pub fn note_success(&mut self, request: Fingerprint, now: WallTime) -> Option<ClearedState> {
         let suspected = self.unwatch(request);
         match self.lift(request, now) {
@@ -193,7 +196,7 @@
         }
     }
 
-    /// A request is not suspected any more; `true` if it was.
+    /// Ends the hold and watch of a request. Returns whether it was watched.
     pub fn unwatch(&mut self, request: Fingerprint) -> bool {
         self.holds.remove(request);
         let Some((key, _)) = self.watched.remove(&request) else { return false };
@@ -201,18 +204,18 @@
         true
     }
 
-    /// All verdicts that are to be remembered.
+    /// All entries within their retention time.
     pub fn entries(&self, now: WallTime) -> impl Iterator<Item = &QuarantineEntry> {
         self.entries.values().filter(move |entry| is_retained(entry, now))
     }
 
-    /// One verdict.
+    /// The entry of a request.
     pub fn entry(&self, request: Fingerprint) -> Option<&QuarantineEntry> {
         self.entries.get(&request)
     }
 
-    /// A number that is the same at nodes with the same verdicts to remember; zero
-    /// without any.
+    /// Digest of the retained entries, equal at nodes with the same entries; zero without
+    /// any.
     pub fn digest(&self, now: WallTime) -> u64 {
         let each = self.entries(now).map(|entry| {
             let Fingerprint(fingerprint) = entry.request.fingerprint;
@@ -222,8 +225,8 @@
         each.fold(0, |sum, part| sum ^ part)
     }
 
-    /// Drops verdicts that are not to be remembered any more, and where there are too
-    /// many the one that ends first.
+    /// Drops entries past their retention time. At the limit, also drops one more: a lifted
+    /// one if any, otherwise the one that expires first.
     pub fn prune(&mut self, now: WallTime) {
         let expired: Vec<Fingerprint> =
             self.entries.values().filter(|entry| !is_retained(entry, now)).map(key_of).collect();
@@ -240,7 +243,7 @@
         }
     }
 
-    /// Drops what has been watched for long, or the oldest.
+    /// Drops requests watched for longer than [`WATCH_TTL`], or the oldest if there are none.
     fn prune_watched(&mut self, now: Instant) {
         let old = |since: &Instant| now.since(*since) > WATCH_TTL;
         let mut expired: Vec<Fingerprint> =
--- a/crates/core/src/quarantine/evidence.rs
+++ b/crates/core/src/quarantine/evidence.rs
@@ -1,4 +1,4 @@
-//! Weighing which request ended a server.
+//! Evaluates which request crashed a server.
 
 use super::entries::QuarantineStatus;
 use crate::dispatch::ServerKey;
@@ -7,58 +7,54 @@
 use std::collections::{HashMap, HashSet, VecDeque};
 use std::time::Duration;
 
-/// Servers that must have ended under a request, and under no other that explains them
-/// as well, before it is quarantined. Two may be chance for a request that ran beside
-/// the cause (`core/tests/quarantine.rs` has the figures).
+/// Number of crashes under a request, and under no other request that explains them as
+/// well, after which it is quarantined. Two may be a coincidence for a request that ran on
+/// the same servers as the cause.
 pub const CRASHES_TO_QUARANTINE: usize = 3;
-/// With so many servers a request is quarantined even if others explain them as well.
+/// Number of crashes after which all requests that explain them equally well are quarantined.
 const CRASHES_TO_QUARANTINE_ALL: usize = 6;
-/// Servers that ended under a request before its good end is asked for. With two, one
-/// whose second end is explained would run to its end at other nodes without a word of it.
+/// Number of crashes under a request after which all nodes report its success.
 const CRASHES_TO_WATCH: usize = 1;
-/// Servers that ended under a request before it waits until the last end is weighed. With
-/// fewer, much that only ran beside a cause would wait for the same moments as the cause,
-/// and run beside it again.
+/// Number of crashes under a request after which it is held while the last one is evaluated.
+/// With fewer, many requests that only ran on the same servers as the cause would be held
+/// and released together with it, and run with it again.
 const CRASHES_TO_HOLD: usize = 3;
-/// After the first word of a server's end all nodes that had work there tell of it within
-/// this time: each tries its address up to twice, 150 ms apart. An end is not weighed
-/// before: whoever is told of late would go free, and who ran beside it be held for it.
+/// Time after the first report of a crash within which all nodes with requests there report
+/// theirs: each tries the address up to twice, 150 ms apart. A crash is not evaluated earlier,
+/// as the cause may be missing from the first reports.
 const SETTLE_TIME: Duration = Duration::from_millis(400);
-/// Nodes that weigh the same evidence decide one after the other, so that mostly one
-/// of them tells the verdict.
+/// Delay between the decisions of nodes that evaluate the same evidence, so that usually
+/// only one of them sends an entry.
 const RANK_DELAY: Duration = Duration::from_millis(100);
 /// Nodes of this rank and beyond decide at the same time.
 const MAX_RANK: usize = 8;
-/// So many servers that end within this time, and of which no two worked on the same
-/// request, were lost together: a rack, a zone, a release that went wrong. No request is
-/// held for it.
+/// Minimum number of servers in a group loss: crashes within [`GROUP_LOSS_WINDOW`] without a
+/// common request, as from a failed rack or a bad release. They count against no request.
 const MIN_GROUP_LOSS: usize = 3;
 const GROUP_LOSS_WINDOW: Duration = Duration::from_millis(100);
-/// Two servers that end within this time under one request, which ran at no third one of
-/// that moment, count once: a fault cuts two copies of a harmless request as well. Its
-/// servers have a request in common then, and of idle ones nobody tells, so that they
-/// don't count as lost together. A request that goes on elsewhere ends its next server as
-/// long after the first as it takes to run; one word of an end takes 10 ms.
+/// Two crashes under a request within this time count once unless there is a third one: a
+/// group loss may interrupt two copies of a harmless request, and is not recognised then as
+/// its servers have a request in common. A retried request crashes its next server later.
 const PAIR_WINDOW: Duration = Duration::from_millis(20);
-/// Evidence is kept for this time.
+/// Time for which a crash is retained.
 const EVIDENCE_TTL: Duration = Duration::from_secs(3600);
-/// Ended servers that are kept at most, and requests of each.
+/// Maximum number of retained crashes.
 const CRASH_LIMIT: usize = 256;
+/// Maximum number of requests of each crash.
 const REQUEST_LIMIT: usize = 128;
 
 #[derive(Debug)]
 struct Crash {
     at: Instant,
-    /// When all nodes have told of it.
+    /// Time at which this node evaluates the crash.
     settled_at: Instant,
     requests: Vec<RequestKey>,
-    /// Requests that ran to their end elsewhere; news that come again don't count.
+    /// Requests that have succeeded elsewhere. Further reports don't add them again.
     cleared: HashSet<Fingerprint>,
-    /// A quarantined request was among them: no other request is held to be the cause.
+    /// Whether one of the requests is quarantined. The crash counts against no other request.
     explained: bool,
-    /// The server was lost with others, as far as can be told: no request is held to be
-    /// the cause. Three causes that come again at the same pace look so until each of them
-    /// has come often enough.
+    /// Whether the crash is part of a group loss and counts against no request. Reset if each
+    /// server of the group turns out to have a request with enough crashes of its own.
     lost: bool,
 }
 
@@ -78,18 +74,19 @@
         }
     }
 
-    /// Whether it has settled and nothing explains it.
+    /// Whether the crash has settled, without a quarantined request or group loss that
+    /// explains it.
     fn is_unexplained(&self, now: Instant) -> bool {
         !self.explained && !self.lost && self.settled_at <= now
     }
 }
 
-/// What speaks against one request.
+/// Evidence against one request.
 #[derive(Debug)]
 struct Suspect {
-    /// Servers that ended under it.
+    /// Servers that crashed while they ran the request.
     servers: HashSet<ServerKey>,
-    /// How many of these ends count.
+    /// Number of crashes, where two within [`PAIR_WINDOW`] count once.
     counted: usize,
 }
 
@@ -102,30 +99,30 @@
     }
 }
 
-/// What follows from the evidence.
+/// Decisions that follow from the evidence.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Decisions {
-    /// Requests to quarantine, and the servers that ended under each.
+    /// Requests to quarantine, each with the servers that crashed under it.
     pub quarantine: Vec<(RequestKey, Vec<ServerKey>)>,
-    /// Requests whose good end is to be told.
+    /// Requests whose success must be reported.
     pub watch: Vec<RequestKey>,
-    /// Servers that were lost together, group by group.
+    /// Newly detected group losses: servers that crashed together without a common request.
     pub lost: Vec<Vec<ServerKey>>,
 }
 
-/// Servers that ended, and the requests under which they did.
+/// Crashed servers, and the requests that they were running.
 #[derive(Debug, Default)]
 pub struct CrashEvidence {
     crashes: HashMap<ServerKey, Crash>,
-    /// Servers in the order in which their ends were heard of.
+    /// Crashed servers in the order of their first reports.
     order: VecDeque<ServerKey>,
     decide_at: Option<Instant>,
 }
 
 impl CrashEvidence {
-    /// A server ended while it worked on these requests, among others maybe. `rank` is
-    /// this node's place among those that weigh the same evidence. Gives back whether
-    /// this is the first word of it.
+    /// Records that a server crashed while it ran `requests`, and possibly others. `rank` is
+    /// the rank of this node among those that evaluate the same evidence. Returns whether
+    /// this is the first report of the crash.
     pub fn note_crash(
         &mut self,
         now: Instant,
@@ -153,8 +150,8 @@
         is_first_report
     }
 
-    /// How many servers have ended under a request, if it is to be held while the last end
-    /// is weighed.
+    /// Number of crashes under a request, if they are enough to hold it while the last one is
+    /// evaluated.
     pub fn crashes_for_hold(&self, request: Fingerprint) -> Option<usize> {
         let counts = |crash: &&Crash| !crash.explained && !crash.lost;
         let ran_there = |crash: &&Crash| crash.requests.iter().any(|present| present.fingerprint == request);
@@ -162,20 +159,20 @@
         (crashes >= CRASHES_TO_HOLD).then_some(crashes)
     }
 
-    /// Time at which to decide; `None` if there is nothing new.
+    /// Time at which [`Self::decide`] is due; `None` without new evidence.
     pub fn decide_at(&self) -> Option<Instant> {
         self.decide_at
     }
 
-    /// A request ran to its end, so that it ended no server.
+    /// Records that a request succeeded, which removes it from all crashes.
     pub fn note_success(&mut self, request: Fingerprint) {
         for crash in self.crashes.values_mut() {
             crash.clear(request);
         }
     }
 
-    /// A request was quarantined elsewhere: the ends of these servers, and of all under
-    /// which it ran, are explained.
+    /// Records that a request was quarantined for the crashes of `servers`. These and all
+    /// other crashes under the request count against no other request.
     pub fn note_quarantined(&mut self, request: Fingerprint, servers: &[ServerKey]) {
         for (server, crash) in &mut self.crashes {
             let ran_there = crash.requests.iter().any(|present| present.fingerprint == request);
@@ -183,7 +180,7 @@
         }
     }
 
-    /// Decides by all that has settled.
+    /// Evaluates all crashes that have settled.
     pub fn decide(&mut self, now: Instant, status: impl Fn(Fingerprint) -> QuarantineStatus) -> Decisions {
         self.decide_at = self.crashes.values().map(|crash| crash.settled_at).filter(|at| *at > now).min();
         let mut decisions = Decisions { lost: self.find_group_losses(now), ..Decisions::default() };
@@ -203,7 +200,7 @@
         }
     }
 
-    /// Requests with the servers that ended under them, where nothing explains that.
+    /// Requests with the unexplained crashes under them.
     fn suspects(&self, now: Instant) -> HashMap<RequestKey, Suspect> {
         let mut crashes: HashMap<RequestKey, Vec<(Instant, ServerKey)>> = HashMap::new();
         for (server, crash) in self.crashes.iter().filter(|(_, crash)| crash.is_unexplained(now)) {
@@ -214,7 +211,8 @@
         crashes.into_iter().map(|(request, crashes)| (request, Suspect::of(crashes))).collect()
     }
 
-    /// Tells which servers were lost together; gives back the groups that were not known.
+    /// Marks crashes that are part of a group loss. Returns the groups with a crash that was
+    /// not marked before.
     fn find_group_losses(&mut self, now: Instant) -> Vec<Vec<ServerKey>> {
         let settled = self.crashes.iter().filter(|(_, crash)| crash.settled_at <= now && !crash.explained);
         let mut settled: Vec<(Instant, ServerKey)> = settled.map(|(server, crash)| (crash.at, *server)).collect();
@@ -241,7 +239,7 @@
         groups
     }
 
-    /// How many servers ended under each request.
+    /// Number of crashes under each request.
     fn crashes_by_request(&self) -> HashMap<RequestKey, usize> {
         let mut crashes: HashMap<RequestKey, usize> = HashMap::new();
         for request in self.crashes.values().flat_map(|crash| &crash.requests) {
@@ -250,8 +248,8 @@
         crashes
     }
 
-    /// Whether each of these servers ended under a request that would be quarantined for
-    /// the servers that ended under it.
+    /// Whether each server of a group was running a request with enough crashes to be
+    /// quarantined.
     fn each_has_suspect(&self, group: &[(Instant, ServerKey)], crashes: &HashMap<RequestKey, usize>) -> bool {
         let is_suspect = |request: &RequestKey| crashes[request] >= CRASHES_TO_QUARANTINE;
         group
@@ -279,8 +277,8 @@
     }
 }
 
-/// Requests that are a cause as far as can be told: one that nothing else explains as
-/// well, or all of those between which even much evidence does not decide.
+/// Requests to quarantine: one on probation; else the one with the most crashes if no other
+/// request explains these as well; else, with enough crashes, all that explain them equally.
 fn find_causes(
     suspects: &HashMap<RequestKey, Suspect>,
     status: impl Fn(Fingerprint) -> QuarantineStatus,
--- a/crates/core/src/quarantine/holds.rs
+++ b/crates/core/src/quarantine/holds.rs
@@ -1,42 +1,41 @@
-//! Requests that wait while the ends of servers under them are weighed, and run one at a
-//! time after that.
+//! Requests that are held while crashes are evaluated, and run one at a time afterwards.
 //!
-//! Answers a burst of copies of a request that ends its servers: all that come between
-//! the end of a server and the verdict would reach servers otherwise, one each. Where the
-//! evidence is not enough for a verdict, one more run shows as much as many.
+//! Without a hold, each copy of a request sent between a crash and the decision could
+//! crash another server. If the evidence does not suffice, one more run provides as much
+//! of it as many.
 
 use crate::fingerprint::Fingerprint;
 use crate::time::Instant;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time for which a request is held after the word of an end: until the first two nodes
-/// that weigh it have decided (400 and 500 ms after it, `evidence`).
+/// Time for which a request is held after a crash report: until the first two nodes that
+/// evaluate the crash have decided.
 pub const HOLD_TIME: Duration = Duration::from_millis(500);
-/// Time for which other copies wait for the fate of one that was sent: a request that ends
-/// its servers does so soon, and a harmless one is not to be held for long.
+/// Time for which other copies wait after one was sent. A crash usually follows sooner, and
+/// a harmless request is not delayed for long.
 pub const RUN_HOLD_TIME: Duration = Duration::from_secs(1);
-/// Time for which copies run one after the other once they were held.
+/// Time after a hold for which copies of the request still run one at a time.
 const HOLD_RETENTION: Duration = Duration::from_secs(60);
-/// Requests that are held or remembered at a time.
+/// Maximum number of requests that are held or were held recently.
 pub const HOLD_LIMIT: usize = 256;
 
 #[derive(Debug)]
 struct Hold {
-    /// Servers that had ended under the request.
+    /// Number of servers that crashed while they ran the request.
     crashes: usize,
     until: Instant,
 }
 
-/// The requests that are held now, or were held shortly before.
+/// Requests that are held or were held within [`HOLD_RETENTION`].
 #[derive(Debug, Default)]
 pub(super) struct Holds {
     held: HashMap<Fingerprint, Hold>,
 }
 
 impl Holds {
-    /// So many servers have ended under a request; `true` if it is held for longer by
-    /// that. Old news, and news beyond the limit, change nothing.
+    /// Records the number of crashes under a request. Returns whether this starts or extends
+    /// a hold; a repeated report, or a new request beyond the limit, does not.
     pub(super) fn note_crashes(&mut self, request: Fingerprint, crashes: usize, now: Instant) -> bool {
         self.prune(now);
         let is_full = self.held.len() >= HOLD_LIMIT;
@@ -51,7 +50,7 @@
         }
     }
 
-    /// Another node has sent a copy to a server.
+    /// Records that another node has sent a copy to a server.
     pub(super) fn note_run(&mut self, request: Fingerprint, now: Instant) {
         self.prune(now);
         if self.held.len() >= HOLD_LIMIT && !self.held.contains_key(&request) {
@@ -61,7 +60,8 @@
         hold.until = hold.until.max(now + RUN_HOLD_TIME);
     }
 
-    /// A copy is to be sent now. All others wait for its fate if this gives back `true`.
+    /// Records that this node sends a copy. Returns whether the other copies wait for its
+    /// result.
     pub(super) fn begin_run(&mut self, request: Fingerprint, now: Instant) -> bool {
         self.prune(now);
         let Some(hold) = self.held.get_mut(&request) else { return false };
@@ -69,13 +69,12 @@
         true
     }
 
-    /// Time for which a request is still held; `None` if it isn't.
+    /// Remaining time for which a request is held; `None` if it is not held.
     pub(super) fn remaining(&self, request: Fingerprint, now: Instant) -> Option<Duration> {
         let remaining = self.held.get(&request)?.until.since(now);
         Some(remaining).filter(|remaining| !remaining.is_zero())
     }
 
-    /// A request is not suspected any more.
     pub(super) fn remove(&mut self, request: Fingerprint) {
         self.held.remove(&request);
     }
--- a/crates/core/src/second_attempt.rs
+++ b/crates/core/src/second_attempt.rs
@@ -1,40 +1,37 @@
-//! When a request whose server is slow or silent is sent to a second server.
+//! Decides when a request with a slow or unresponsive server is sent to a second server.
 //!
-//! The load that it answers: servers that differ in speed for good and for half a second
-//! at a time, and servers that stop answering without closing a connection. A first piece
-//! that takes longer, in proportion to what was expected, than nearly all others did is
-//! overdue. A second attempt begins then, but not before the last time at which it would
-//! nearly surely be in time: an answer that is in time gains nothing by coming sooner, and
-//! most that are overdue come by themselves. The attempt that is overtaken is withdrawn.
+//! A first piece that takes longer than nearly all others, relative to its expected time, is
+//! overdue. A second attempt begins then, but not before the last time at which it is likely
+//! to meet the latency target, since most overdue answers still arrive. The slower attempt is
+//! withdrawn.
 //!
-//! A second attempt is paid for by first attempts that brought their answer. Each node
-//! earns by its own answers alone, so that over all nodes second attempts stay below that
-//! fraction of the answers without a message.
+//! Answered first attempts earn the budget for second ones. Each node counts only its own
+//! answers, which bounds the share of second attempts over all nodes without messages.
 
 use crate::dispatch::RouteKey;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Answered first attempts that pay for a second one.
+/// Number of answered first attempts that allow one second attempt.
 pub const ANSWERS_PER_SECOND_ATTEMPT: u32 = 20;
-/// Most second attempts that are saved up: about as many as a server that falls silent holds
-/// of one node. What a node saves in calm hours must not meet its servers at once.
+/// Maximum number of saved second attempts: about the number of requests that one node has
+/// at a server. It bounds the burst of second attempts after a quiet period.
 pub const MAX_SAVED_ATTEMPTS: u32 = 8;
-/// Share of the answers that take less time, in parts of the expected, than an overdue one:
-/// those beyond it are as many as second attempts are paid for.
+/// Quantile of the ratio of measured to expected time beyond which an answer is overdue. The
+/// share of overdue answers equals the share of second attempts allowed.
 const OVERDUE_QUANTILE: f64 = 1.0 - 1.0 / ANSWERS_PER_SECOND_ATTEMPT as f64;
-/// What the time at a second server is taken to be.
+/// Quantile used to estimate the time at a second server.
 const MEDIAN_QUANTILE: f64 = 0.5;
-/// Answers of a route before the late quantile is known: one in so many is beyond it.
+/// Number of answers of a route after which its quantiles are used.
 const MIN_ANSWERS: u32 = ANSWERS_PER_SECOND_ATTEMPT;
-/// Least part of an answer's news in an estimate. The first ones count by their number.
+/// Minimum step of the quantile estimates. The first answers have larger steps.
 const MIN_STEP: f64 = 0.05;
-/// Shortest expected time: less than this is not told apart.
+/// Lower bound applied to expected times.
 const MIN_EXPECTED: Duration = Duration::from_millis(1);
-/// Routes whose scatter is kept.
+/// Maximum number of routes with stored quantiles.
 const ROUTE_LIMIT: usize = 1024;
 
-/// How answers of a route scatter round the time that was expected: logarithms of ratios.
+/// Estimated quantiles of ln(measured time / expected time) over the answers of a route.
 #[derive(Clone, Copy, Debug, Default)]
 struct RatioQuantiles {
     answers: u32,
@@ -43,8 +40,9 @@
 }
 
 impl RatioQuantiles {
-    /// A first piece took so many times the expected time, or was not there by then. Only
-    /// the order matters, so that an attempt that was overtaken tells as much as another.
+    /// Records the ratio of measured to expected time of a first piece, or of the time waited
+    /// by an overtaken attempt. Only comparisons with the estimate matter, so such a lower
+    /// bound counts like a measured time.
     fn note(&mut self, ratio: f64) {
         let log_ratio = ratio.ln();
         if self.answers == 0 {
@@ -61,50 +59,50 @@
     }
 }
 
-/// One step of an estimated quantile: at rest, the share `quantile` of what is told is not
-/// above it.
+/// Moves an estimated quantile by one step. In equilibrium, the share `quantile` of the values
+/// does not exceed the estimate.
 fn update_quantile(estimate: &mut f64, log_ratio: f64, quantile: f64, step: f64) {
     let below = if log_ratio <= *estimate { 1.0 } else { 0.0 };
     *estimate += step * (quantile - below);
 }
 
-/// An attempt that is sent now, within the time that its request has.
+/// Times of an attempt that is being sent.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptTime {
-    /// Time in which its first piece is expected.
+    /// Expected time until the first piece.
     pub expected: Duration,
     /// Time since the request was received.
     pub spent: Duration,
-    /// Time since then within which an answer is in time.
+    /// Time since the request was received within which the first piece is in time.
     pub latency_target: Duration,
 }
 
-/// Second attempts of a node: how its routes' answers scatter, and what is paid for.
+/// Quantiles of the routes of a node, and its budget for second attempts.
 #[derive(Clone, Debug, Default)]
 pub struct SecondAttempts {
     routes: HashMap<RouteKey, RatioQuantiles>,
-    /// Answers that paid for no second attempt so far.
+    /// Answers not yet spent on a second attempt.
     saved_answers: u32,
 }
 
 impl SecondAttempts {
-    /// Time after a first attempt at which a second one is due; `None` until answers of the
-    /// route told how they scatter.
+    /// Time after the start of a first attempt at which a second one is due; `None` until the
+    /// route has enough answers.
     pub fn due_after(&self, route: RouteKey, first: &AttemptTime) -> Option<Duration> {
         let quantiles = self.reliable_quantiles(route)?;
         let overdue = first.expected.max(MIN_EXPECTED).mul_f64(quantiles.overdue.exp());
-        // A second server is taken to be as fast as the first one.
+        // Assumes that the second server is as fast as the first.
         let last_in_time = first.latency_target.saturating_sub(first.spent + overdue);
         Some(overdue.max(last_in_time))
     }
 
-    /// Whether a second attempt is paid for.
+    /// Whether the budget allows a second attempt.
     pub fn has_budget(&self) -> bool {
         self.saved_answers >= ANSWERS_PER_SECOND_ATTEMPT
     }
 
-    /// Whether a second attempt begins now: it is paid for and can bring its first piece
-    /// in time. If so it is taken from what is saved.
+    /// Whether a second attempt may begin now: the budget allows it, and its first piece is
+    /// expected in time. If so, the budget is charged.
     pub fn begin(&mut self, route: RouteKey, second: &AttemptTime) -> bool {
         let Some(quantiles) = self.reliable_quantiles(route) else { return false };
         let estimated = second.expected.max(MIN_EXPECTED).mul_f64(quantiles.median.exp());
@@ -115,13 +113,14 @@
         true
     }
 
-    /// A first attempt brought its first piece after `time`.
+    /// Records that the first piece of a first attempt arrived after `time`.
     pub fn note_answered(&mut self, route: RouteKey, expected: Duration, time: Duration) {
         self.saved_answers = (self.saved_answers + 1).min(ANSWERS_PER_SECOND_ATTEMPT * MAX_SAVED_ATTEMPTS);
         self.note(route, expected, time);
     }
 
-    /// A first attempt had no first piece after `waited`, when a second one brought its own.
+    /// Records that a first attempt had no first piece after `waited`, when that of the second
+    /// attempt arrived.
     pub fn note_overtaken(&mut self, route: RouteKey, expected: Duration, waited: Duration) {
         self.note(route, expected, waited);
     }
