--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -1,5 +1,5 @@
-//! Requests that end servers: how evidence is weighed and verdicts are kept, and seeded
-//! schedules with innocent requests beside them and servers that are lost.
+//! Quarantine of requests that crash servers: evidence, entries, and seeded schedules with
+//! innocent requests and group losses.
 
 use latchwheel_core::dispatch::ServerKey;
 use latchwheel_core::fingerprint::{Fingerprint, RequestContent, RequestKey, RequestShape};
@@ -14,7 +14,7 @@
 
 const NOW: WallTime = WallTime(1_000_000_000);
 const NONE: [u64; 0] = [];
-/// When all nodes have told what they know.
+/// Time at which all crashes have settled.
 const ALL_SETTLED: Instant = Instant::from_micros(20_000_000);
 const HOUR: Duration = Duration::from_secs(3600);
 
@@ -30,7 +30,7 @@
     QuarantineStatus::Free
 }
 
-/// Servers that ended, each with the requests that it worked on.
+/// Evidence of crashed servers, each with the requests that it was running.
 fn evidence(crashes: &[&[u64]]) -> CrashEvidence {
     let mut evidence = CrashEvidence::default();
     for (server, requests) in crashes.iter().enumerate() {
@@ -63,10 +63,10 @@
 
 #[test]
 fn requests_that_ran_with_the_cause_are_not_quarantined() {
-    // The second one was there at three ends too, two of which the first explains.
+    // Request 2 was running at three crashes too, two of which request 1 explains.
     let mut evidence = evidence(&[&[1, 2], &[1, 2], &[1], &[1, 3], &[2]]);
     assert_eq!(quarantined(&evidence.decide(ALL_SETTLED, free)), [1]);
-    // Later ends that the cause explains don't count for others either.
+    // Later crashes explained by the cause don't count against others either.
     let status = |key: Fingerprint| if key.0 == 1 { QuarantineStatus::Quarantined } else { QuarantineStatus::Free };
     evidence.note_crash(at(10), ServerKey(90), &[request(2), request(1)], 0, status);
     evidence.note_crash(at(10), ServerKey(91), &[request(2)], 0, status);
@@ -77,22 +77,19 @@
 fn more_crashes_are_needed_if_two_requests_explain_them() {
     assert_eq!(quarantined(&evidence(&[&[1, 2], &[1, 2], &[1, 2]]).decide(ALL_SETTLED, free)), NONE);
     assert_eq!(quarantined(&evidence(&[&[1, 2], &[1, 2], &[1, 2], &[1]]).decide(ALL_SETTLED, free)), [1]);
-    // Two that always come together are kept back together in the end.
+    // Two requests that always run together are both quarantined after enough crashes.
     assert_eq!(quarantined(&evidence(&[&[1_u64, 2] as &[u64]; 6]).decide(ALL_SETTLED, free)), [1, 2]);
 }
 
-/// A harmless stream was kept from all servers for ten minutes: two copies of it had run
-/// at two of the servers that were lost in one fault, the third of which was idle, so
-/// that they didn't count as lost together; 2.2 s later it ran beside a request that
-/// ended its third server, of which two ends were known then. The verdict's log names
-/// these three servers, and the ends of the first two lie less than 2 ms apart.
+/// A harmless stream with two copies interrupted by a group loss, and a third by the cause,
+/// is not quarantined.
 #[test]
 fn two_simultaneous_crashes_count_once() {
     const STREAM: u64 = 1;
     const CAUSE: u64 = 2;
     let mut evidence = CrashEvidence::default();
-    let ends: [(u64, &[u64]); 4] = [(0, &[STREAM, 3]), (2, &[STREAM]), (2_236, &[CAUSE]), (2_300, &[CAUSE, STREAM])];
-    for (server, (milliseconds, requests)) in ends.into_iter().enumerate() {
+    let crashes: [(u64, &[u64]); 4] = [(0, &[STREAM, 3]), (2, &[STREAM]), (2_236, &[CAUSE]), (2_300, &[CAUSE, STREAM])];
+    for (server, (milliseconds, requests)) in crashes.into_iter().enumerate() {
         let requests: Vec<RequestKey> = requests.iter().copied().map(request).collect();
         evidence.note_crash(at(milliseconds), ServerKey(server as u32), &requests, 0, free);
     }
@@ -101,7 +98,6 @@
     assert_eq!(quarantined(&evidence.decide(at(3_400), free)), [CAUSE]);
 }
 
-/// One that ends its servers one after the other counts each of them.
 #[test]
 fn consecutive_crashes_count_separately() {
     let mut evidence = CrashEvidence::default();
@@ -120,7 +116,7 @@
     assert_eq!(quarantined(&evidence.decide(ALL_SETTLED, free)), NONE);
 }
 
-/// News are sent several times: what comes again after a good end counts no more.
+/// Crash reports are sent several times, also after a success.
 #[test]
 fn repeated_reports_do_not_count_against_a_cleared_request() {
     let mut evidence = evidence(&[&[1], &[1]]);
@@ -133,8 +129,7 @@
     assert_eq!(quarantined(&evidence.decide(ALL_SETTLED, free)), NONE);
 }
 
-/// A request that was cut once is watched at all nodes, also where a second end was
-/// explained: its good end at any of them clears it.
+/// A request with one unexplained crash is watched, so that a success at any node clears it.
 #[test]
 fn a_request_interrupted_once_is_watched() {
     let mut evidence = evidence(&[&[2], &[1, 2], &[1], &[1]]);
@@ -146,7 +141,7 @@
 #[test]
 fn an_entry_of_another_node_explains_the_same_crashes() {
     let mut evidence = evidence(&[&[2], &[2], &[2, 1]]);
-    // This node did not hear that the other ran at the first two.
+    // This node received no report that request 1 ran at the first two servers.
     evidence.note_quarantined(request(1).fingerprint, &[ServerKey(0), ServerKey(1)]);
     assert_eq!(quarantined(&evidence.decide(ALL_SETTLED, free)), NONE);
 }
@@ -161,7 +156,7 @@
     let mut next = CrashEvidence::default();
     next.note_crash(at(0), ServerKey(0), &[request(1)], 1, free);
     assert!(next.decide_at().unwrap() > first);
-    // Until then nothing is held against anybody.
+    // No decision is made before that.
     evidence.note_crash(at(0), ServerKey(1), &[request(1)], 0, free);
     evidence.note_crash(at(0), ServerKey(2), &[request(1)], 0, free);
     assert_eq!(quarantined(&evidence.decide(at(100), free)), NONE);
@@ -190,7 +185,7 @@
     let later = first.until;
     assert_eq!(quarantine.status(request(1).fingerprint, later), QuarantineStatus::OnProbation);
     assert_eq!(quarantine.quarantine_remaining(request(1).fingerprint, later), None);
-    // One more end is enough then.
+    // One more crash is enough on probation.
     let mut evidence = evidence(&[&[1, 2]]);
     let decisions = evidence.decide(ALL_SETTLED, |key| quarantine.status(key, later));
     assert_eq!(quarantined(&decisions), [1]);
@@ -204,7 +199,7 @@
     let entry = own.impose(request(1), Vec::new(), NOW);
     let mut other = Quarantine::default();
     assert!(other.merge(entry.clone(), NOW));
-    assert!(!other.merge(entry.clone(), NOW), "told twice");
+    assert!(!other.merge(entry.clone(), NOW), "repeated entry");
     assert_eq!(own.digest(NOW), other.digest(NOW));
     let Some(ClearedState::Lifted(lifted)) = own.note_success(request(1).fingerprint, NOW) else {
         panic!("not lifted")
@@ -212,7 +207,7 @@
     assert_ne!(own.digest(NOW), other.digest(NOW));
     assert!(other.merge(lifted, NOW));
     assert_eq!(other.status(request(1).fingerprint, NOW), QuarantineStatus::Free);
-    // What was decided before comes late.
+    // An older entry arrives late.
     assert!(!other.merge(entry, NOW));
     assert_eq!(own.digest(NOW), other.digest(NOW));
 }
@@ -261,20 +256,20 @@
     assert_eq!(quarantine.entries(NOW).count(), QUARANTINE_LIMIT);
     let newest = request(QUARANTINE_LIMIT as u64 * 3 - 1).fingerprint;
     assert_eq!(quarantine.status(newest, NOW + Duration::from_secs(4)), QuarantineStatus::Quarantined);
-    // What is over is forgotten in the end, and nodes don't differ by it.
+    // Entries past their retention time are not part of the digest.
     assert_eq!(quarantine.digest(NOW + HOUR * 48), 0);
     let late = QuarantineEntry { changed_at: NOW, until: NOW, ..quarantine.entry(newest).unwrap().clone() };
     assert!(!Quarantine::default().merge(late, NOW + HOUR * 48));
 }
 
-/// How a schedule tells a cause from what ran beside it.
+/// How a schedule decides which requests to quarantine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Policy {
-    /// As the product does.
+    /// By crash evidence, with holds, as the nodes do.
     Evidence,
-    /// The same, but nothing waits while an end is weighed.
+    /// By crash evidence, without holds.
     EvidenceWithoutHolds,
-    /// Every request under which three servers ended, whatever else ran there.
+    /// Every request with three crashes, whichever other requests ran there.
     CrashCount,
 }
 
@@ -283,41 +278,41 @@
 const CAUSES: u64 = 4;
 const STEP: u64 = 10;
 const LENGTH: u64 = 90_000;
-/// Time between two ends of several servers that no request caused.
+/// Milliseconds between two group losses.
 const GROUP_LOSS_INTERVAL: u64 = 15_000;
 
 struct Run {
     request: u64,
     server: usize,
     ends_at: u64,
-    /// Attempts of the same client request before: it goes on elsewhere at once.
+    /// Number of earlier attempts of the same client request.
     attempts: u32,
 }
 
-/// Attempts of one client request.
+/// Maximum number of attempts of one client request.
 const MAX_ATTEMPTS: u32 = 2;
-/// Nodes tell of a server's end within this time: its address is tried up to twice.
+/// Milliseconds within which nodes report a crash.
 const REPORT_DELAY: u64 = 250;
 
-/// A fleet of servers on which innocent requests come again and again, and a few that
-/// end each server that runs them.
+/// A fleet of servers with repeated innocent requests, and a few causes, which crash each
+/// server that runs them.
 struct Schedule {
     policy: Policy,
     causes: u64,
-    /// When all nodes are restarted, if they are.
+    /// Time at which all nodes are restarted.
     restart_at: Option<u64>,
     random: SmallRng,
     now: u64,
-    /// Identity of each server's start, and since when it is up.
+    /// Identity of the current start of each server, and the time since which it is up.
     servers: [(u32, u64); SERVERS],
     runs: Vec<Run>,
     next: HashMap<u64, u64>,
-    /// What nodes are about to tell: when, which server ended and under which request.
+    /// Pending crash reports: time, server start and request.
     reports: Vec<(u64, u32, u64)>,
     evidence: CrashEvidence,
     quarantine: Quarantine,
     counts: HashMap<u64, HashSet<u32>>,
-    /// When servers ended under each cause.
+    /// Times of the crashes under each cause.
     crashes: HashMap<u64, Vec<u64>>,
     wrongly_quarantined: HashSet<u64>,
     starts: u32,
@@ -370,8 +365,8 @@
         self
     }
 
-    /// All nodes are restarted: what they knew of servers that ended and what they were
-    /// about to tell is lost; the record store keeps the verdicts.
+    /// Restarts all nodes: their evidence and pending reports are lost, and the entries are
+    /// restored from the record store.
     fn restart_nodes(&mut self) {
         let wall = self.wall();
         let mut restored = Quarantine::default();
@@ -383,15 +378,14 @@
         self.reports.clear();
     }
 
-    /// The most servers that ended under one cause; each of the causes has run.
+    /// Maximum number of crashes under one cause. Checks that each cause has run.
     fn max_crashes(&self) -> usize {
         assert_eq!(self.crashes.len() as u64, self.causes, "a cause never ran");
         self.crashes.values().map(Vec::len).max().unwrap_or(0)
     }
 
-    /// The most servers that ended under one cause after its time was up: once three
-    /// had ended, counted from the restart if there was one, and the contact time had
-    /// passed.
+    /// Maximum number of crashes under one cause later than [`REACTION_TIME`] after its third
+    /// crash, counted from the restart if there was one.
     fn max_late_crashes(&self) -> usize {
         let from = self.restart_at.unwrap_or(0);
         let late = self.crashes.values().map(|crash_times| {
@@ -402,7 +396,7 @@
         late.max().unwrap_or(0)
     }
 
-    /// Each request is told apart, as by different nodes.
+    /// Delivers the due reports, one for each request, as from different nodes.
     fn report(&mut self) {
         let now = self.now;
         let (due, later): (Vec<_>, Vec<_>) = self.reports.drain(..).partition(|(when, ..)| *when <= now);
@@ -415,12 +409,12 @@
         }
     }
 
-    /// Requests wait while the last end of a server under them is weighed.
+    /// Holds a request with enough crashes.
     fn hold(&mut self, number: u64) {
         let request = request(number);
-        let ends = self.evidence.crashes_for_hold(request.fingerprint).filter(|_| self.policy == Policy::Evidence);
-        if let Some(ends) = ends {
-            self.quarantine.hold(request, ends, at(self.now));
+        let crashes = self.evidence.crashes_for_hold(request.fingerprint).filter(|_| self.policy == Policy::Evidence);
+        if let Some(crashes) = crashes {
+            self.quarantine.hold(request, crashes, at(self.now));
         }
     }
 
@@ -492,19 +486,19 @@
         }
         self.starts += 1;
         self.servers[server] = (self.starts, self.now + 3000);
-        let (cut, left): (Vec<Run>, Vec<Run>) = self.runs.drain(..).partition(|run| run.server == server);
+        let (interrupted, left): (Vec<Run>, Vec<Run>) = self.runs.drain(..).partition(|run| run.server == server);
         self.runs = left;
-        // Most requests that are cut at the same moment find the same server best then.
+        // Most requests that are interrupted together are retried at the same server.
         let best = self.choose();
-        for run in &cut {
+        for run in &interrupted {
             self.counts.entry(run.request).or_default().insert(identity);
             let delay = self.random.random_range(0..REPORT_DELAY);
             self.reports.push((self.now + delay, identity, run.request));
             let quarantined = self.quarantine.status(request(run.request).fingerprint, self.wall());
-            // Half of the kinds of requests may be repeated at once.
-            let goes_on = run.request.is_multiple_of(2) && run.attempts + 1 < MAX_ATTEMPTS;
+            // Half of the requests may be retried at once.
+            let is_retried = run.request.is_multiple_of(2) && run.attempts + 1 < MAX_ATTEMPTS;
             let may_run = quarantined != QuarantineStatus::Quarantined && self.hold_remaining(run.request).is_none();
-            match best.filter(|_| goes_on && may_run) {
+            match best.filter(|_| is_retried && may_run) {
                 Some(server) => self.start(run.request, server, run.attempts + 1),
                 None => {
                     self.next.insert(run.request, self.now + self.random.random_range(200..900));
@@ -542,7 +536,7 @@
 
 #[test]
 fn group_losses_are_not_attributed_to_requests() {
-    // Each of three losses cuts the same request.
+    // Each of three group losses interrupts the same request.
     let mut evidence = CrashEvidence::default();
     for loss in 0..3_u32 {
         for number in 0..4_u32 {
@@ -552,7 +546,7 @@
         }
     }
     assert_eq!(quarantined(&evidence.decide(ALL_SETTLED, free)), NONE);
-    // Copies of one request that run at the same time are no loss.
+    // Simultaneous crashes under copies of one request are not a group loss.
     let mut evidence = CrashEvidence::default();
     for server in 0..3_u32 {
         let beside = request(u64::from(200 + server));
@@ -561,11 +555,10 @@
     assert_eq!(quarantined(&evidence.decide(ALL_SETTLED, free)), [1]);
 }
 
-/// Of 10,000 innocent requests this many may be quarantined where a server of 18 ends
-/// each second or two, and half of what is cut goes where the cause goes.
+/// Maximum number of quarantined requests among 10,000 innocent ones.
 const MAX_WRONG_IN_10_000: usize = 5;
-/// Servers that a cause ends at most: two each time that it comes, and it comes again
-/// before all nodes have told.
+/// Maximum number of crashes under a cause. It crashes two servers per client request, and
+/// is sent again before all nodes have reported.
 const MAX_CRASHES: usize = 8;
 
 #[test]
@@ -574,15 +567,15 @@
     for seed in SEEDS {
         let schedule = Schedule::new(seed, Policy::Evidence, CAUSES).run();
         let most = schedule.max_crashes();
-        assert!(most <= MAX_CRASHES, "seed {seed}: {:?} ended", schedule.crashes);
+        assert!(most <= MAX_CRASHES, "seed {seed}: crashes at {:?}", schedule.crashes);
         max_overall = max_overall.max(most);
         wrongly_quarantined += schedule.wrongly_quarantined.len();
     }
     let innocent = INNOCENT as usize * SEEDS.count();
-    println!("{wrongly_quarantined} of {innocent} innocent requests stopped; {max_overall} servers ended at most");
+    println!("{wrongly_quarantined} of {innocent} innocent requests quarantined; at most {max_overall} crashes");
     assert!(
         wrongly_quarantined * 10_000 <= MAX_WRONG_IN_10_000 * innocent,
-        "{wrongly_quarantined} of {innocent} wronged"
+        "{wrongly_quarantined} of {innocent} quarantined"
     );
 }
 
@@ -590,19 +583,19 @@
 fn holds_reduce_the_number_of_crashes() {
     let crashes = |policy| -> usize {
         let schedules = FEWER_SEEDS.map(|seed| Schedule::new(seed, policy, CAUSES).run());
-        schedules.flat_map(|schedule| schedule.crashes.into_values()).map(|ends| ends.len()).sum()
+        schedules.flat_map(|schedule| schedule.crashes.into_values()).map(|times| times.len()).sum()
     };
     let (with, without) = (crashes(Policy::Evidence), crashes(Policy::EvidenceWithoutHolds));
-    println!("{with} servers ended, {without} without waiting");
+    println!("{with} crashes, {without} without holds");
     assert!(with < without, "{with} of {without}");
 }
 
-/// Time after the third server's end from which on a cause may end three more servers at
-/// most (milliseconds; the users' bound).
+/// Milliseconds after the third crash under a cause after which it may crash at most
+/// [`MAX_LATE_CRASHES`] more servers.
 const REACTION_TIME: u64 = 3000;
 const MAX_LATE_CRASHES: usize = 3;
-/// Causes beside the innocent requests: 1 to 6 in 100 of all. With 8 or more, which end
-/// most servers within seconds, verdicts against innocent requests hide some causes.
+/// Numbers of causes among the innocent requests. With 8 or more, quarantined innocent
+/// requests hide some causes.
 const CAUSE_COUNTS: [u64; 4] = [1, 2, 4, 6];
 const FEWER_SEEDS: std::ops::Range<u64> = 0..250;
 
@@ -617,7 +610,7 @@
     }
 }
 
-/// Times at which all nodes are restarted; causes begin between 1 s and 45 s.
+/// Milliseconds at which all nodes are restarted; causes begin between 1 s and 45 s.
 const RESTARTS: [u64; 3] = [10_000, 20_000, 30_000];
 
 #[test]
@@ -636,18 +629,17 @@
     }
 }
 
-/// The schedules can tell a worse way: counts alone stop innocent requests.
+/// Guards against schedules too easy to distinguish the policies.
 #[test]
 fn crash_counts_alone_quarantine_innocent_requests() {
     let wrongly_quarantined: usize =
         SEEDS.map(|seed| Schedule::new(seed, Policy::CrashCount, CAUSES).run().wrongly_quarantined.len()).sum();
-    println!("{wrongly_quarantined} innocent requests stopped in {} schedules of {INNOCENT}", SEEDS.end);
+    println!("{wrongly_quarantined} innocent requests quarantined in {} schedules of {INNOCENT}", SEEDS.end);
     assert!(wrongly_quarantined > 0);
 }
 
-/// Three causes that come again at the same pace end three servers at nearly the same
-/// moments, with no request in common: that looks like a rack that is lost, for as long as
-/// none of them has ended enough servers.
+/// Three causes retried in step crash servers without a common request at nearly the same
+/// times, which looks like a group loss until each cause has enough crashes.
 #[test]
 fn causes_with_simultaneous_crashes_are_quarantined() {
     let mut evidence = CrashEvidence::default();
--- a/crates/core/tests/quarantine_holds.rs
+++ b/crates/core/tests/quarantine_holds.rs
@@ -1,4 +1,4 @@
-//! Requests that wait while the ends of servers under them are weighed.
+//! Holds of requests while crashes are evaluated.
 
 use latchwheel_core::dispatch::ServerKey;
 use latchwheel_core::fingerprint::{Fingerprint, RequestKey, RequestShape};
@@ -15,8 +15,7 @@
     Instant::from_micros(milliseconds * 1000)
 }
 
-/// Two copies of a request end their servers within 20 ms, which counts as one end, and a
-/// third ends later: no verdict follows, and further copies come meanwhile.
+/// Two simultaneous crashes count once for a quarantine, but each counts for a hold.
 #[test]
 fn three_crashes_hold_a_request_that_is_not_quarantined() {
     let mut evidence = CrashEvidence::default();
@@ -36,10 +35,10 @@
     let mut quarantine = Quarantine::default();
     let key = request(1).fingerprint;
     assert!(quarantine.hold(request(1), 3, at(0)));
-    assert!(!quarantine.hold(request(1), 3, at(350)), "told twice");
+    assert!(!quarantine.hold(request(1), 3, at(350)), "repeated report");
     assert_eq!(quarantine.hold_remaining(key, at(0)), Some(HOLD_TIME));
     assert_eq!(quarantine.hold_remaining(key, at(0) + HOLD_TIME), None);
-    assert!(quarantine.hold(request(1), 4, at(600)), "a further end");
+    assert!(quarantine.hold(request(1), 4, at(600)), "a further crash");
     assert_eq!(quarantine.hold_remaining(key, at(600)), Some(HOLD_TIME));
     assert_eq!(quarantine.hold_remaining(request(2).fingerprint, at(600)), None);
 }
@@ -48,7 +47,7 @@
 fn copies_run_one_at_a_time_after_a_hold() {
     let (mut own, mut other) = (Quarantine::default(), Quarantine::default());
     let key = request(1).fingerprint;
-    assert!(!own.begin_run(key, at(0)), "nothing is known of it");
+    assert!(!own.begin_run(key, at(0)), "the request was not held");
     own.hold(request(1), 3, at(0));
     assert!(own.begin_run(key, at(600)));
     other.note_run(request(1), at(601));
@@ -63,7 +62,7 @@
     let mut quarantine = Quarantine::default();
     let key = request(1).fingerprint;
     quarantine.hold(request(1), 3, at(0));
-    assert!(quarantine.has_shape(request(1).shape), "its good end is asked for");
+    assert!(quarantine.has_shape(request(1).shape), "a held request is watched");
     quarantine.note_success(key, NOW);
     assert_eq!(quarantine.hold_remaining(key, at(1)), None);
     assert!(!quarantine.begin_run(key, at(1)));
