--- a/crates/core/tests/second_attempts.rs
+++ b/crates/core/tests/second_attempts.rs
@@ -127,24 +127,26 @@
     let placement = |dispatcher: &Dispatcher, number: usize, wait: Duration| {
         dispatcher.place_at(at(0), ServerKey::of(&name(number)), 1000, wait, false).expect("ready")
     };
-    let of = |dispatcher: &Dispatcher, placement: &Placement, piece| {
+    let first_piece = |dispatcher: &Dispatcher, placement: &Placement, piece| {
         dispatcher.expected_first_piece(at(0), placement, piece)
     };
     let first = placement(&dispatcher, 0, Duration::ZERO);
-    assert_eq!(of(&dispatcher, &first, FirstPiece::OfStream), None, "no server tells its pace");
+    assert_eq!(first_piece(&dispatcher, &first, FirstPiece::OfStream), None, "no server tells its pace");
     for (number, pace) in [(0, 100), (1, 300)] {
         let load = ServerLoad { running: 0, waiting: 0, slots: SLOTS, pace: Some(pace) };
         dispatcher.note_load(at(0), &name(number), load);
     }
     let second = placement(&dispatcher, 1, Duration::ZERO);
     for piece in [FirstPiece::OfStream, FirstPiece::WholeAnswer] {
-        let (usual, slow) =
-            (of(&dispatcher, &first, piece).expect("told"), of(&dispatcher, &second, piece).expect("told"));
+        let (usual, slow) = (
+            first_piece(&dispatcher, &first, piece).expect("told"),
+            first_piece(&dispatcher, &second, piece).expect("told"),
+        );
         assert!(slow > usual * 2, "{piece:?}: {usual:?} {slow:?}");
     }
     let waits = placement(&dispatcher, 0, millis(50));
-    let more = of(&dispatcher, &waits, FirstPiece::OfStream).expect("told")
-        - of(&dispatcher, &first, FirstPiece::OfStream).expect("told");
+    let more = first_piece(&dispatcher, &waits, FirstPiece::OfStream).expect("told")
+        - first_piece(&dispatcher, &first, FirstPiece::OfStream).expect("told");
     assert_eq!(more, millis(50));
 }
 
@@ -190,9 +192,9 @@
     has_second: bool,
 }
 
-struct PlayResult {
+struct SimulationResult {
     /// Time to the first piece of the slowest in a hundred, in ms.
-    slowest: u64,
+    p99: u64,
     /// Share in time.
     in_time: f64,
     begun: usize,
@@ -219,7 +221,7 @@
 /// In each second three other servers say nothing for 800 ms.
 fn is_unresponsive(number: usize, now: u64) -> bool {
     let first = (now / 1000 * 7) as usize;
-    now % 1000 < 800 && [first, first + 5, first + 10].iter().any(|silent| silent % SERVERS == number)
+    now % 1000 < 800 && [first, first + 5, first + 10].iter().any(|server| server % SERVERS == number)
 }
 
 const LENGTH: u64 = 20_000;
@@ -230,7 +232,7 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
 /// A node that chooses by itself, and its servers.
-struct Play {
+struct Simulation {
     seed: u64,
     with_second: bool,
     node: Dispatcher,
@@ -243,7 +245,7 @@
     answered: usize,
 }
 
-impl Play {
+impl Simulation {
     fn new(seed: u64, with_second: bool) -> Self {
         Self {
             seed,
@@ -260,7 +262,7 @@
     }
 
     /// 400 requests a second for 20 s.
-    fn play(mut self) -> PlayResult {
+    fn run(mut self) -> SimulationResult {
         for now in 0..LENGTH {
             for number in (0..SERVERS).filter(|number| !is_unresponsive(*number, now)) {
                 self.work(now, number);
@@ -387,27 +389,27 @@
         }
     }
 
-    fn outcome(&self) -> PlayResult {
+    fn outcome(&self) -> SimulationResult {
         let counted = self.requests.iter().filter(|request| request.received + 2000 < LENGTH);
         let time = |request: &Request| request.first_piece.map_or(LENGTH, |first| first - request.received);
         let mut times: Vec<u64> = counted.map(time).collect();
         times.sort_unstable();
         let in_time = times.iter().filter(|time| **time <= TARGET).count() as f64 / times.len() as f64;
-        PlayResult { slowest: times[times.len() * 99 / 100], in_time, begun: self.begun, answered: self.answered }
+        SimulationResult { p99: times[times.len() * 99 / 100], in_time, begun: self.begun, answered: self.answered }
     }
 }
 
 #[test]
 fn second_attempts_reduce_tail_latency_within_their_budget() {
     for seed in [1, 2, 3] {
-        let (without, with) = (Play::new(seed, false).play(), Play::new(seed, true).play());
+        let (without, with) = (Simulation::new(seed, false).run(), Simulation::new(seed, true).run());
         eprintln!(
             "{seed}: slowest in a hundred {} ms, {} ms; in time {:.4}, {:.4}; begun {} of {}",
-            without.slowest, with.slowest, without.in_time, with.in_time, with.begun, with.answered
+            without.p99, with.p99, without.in_time, with.in_time, with.begun, with.answered
         );
         assert!(with.in_time >= 0.95, "{seed}: {}", with.in_time);
         assert!(with.in_time > without.in_time, "{seed}: {} {}", with.in_time, without.in_time);
-        assert!(with.slowest < without.slowest, "{seed}: {} {}", with.slowest, without.slowest);
+        assert!(with.p99 < without.p99, "{seed}: {} {}", with.p99, without.p99);
         assert!(
             with.begun * ANSWERS_PER_SECOND_ATTEMPT as usize <= with.answered,
             "{seed}: {} {}",
