--- a/crates/core/tests/attempts.rs
+++ b/crates/core/tests/attempts.rs
@@ -1,4 +1,4 @@
-//! What follows a failed attempt, and what the caller is told.
+//! Next steps after failed attempts, and the result code for the caller.
 
 use latchwheel_core::attempts::{AttemptFailure, Attempts, NextStep};
 use latchwheel_core::code::ResultCode;
@@ -35,7 +35,7 @@
     assert_eq!(
         attempts.note_failure(AttemptFailure::NotRun, TIME),
         NextStep::GiveUp(ResultCode::EngineUnreachable),
-        "attempts that were not run have a bound too"
+        "attempts that did not run are bounded too"
     );
 }
 
@@ -45,8 +45,7 @@
     assert!(matches!(attempts.note_failure(AttemptFailure::MayHaveRun, Duration::ZERO), NextStep::GiveUp(_)));
 }
 
-/// A request that loses two servers is not sent to a third; silence of servers has the
-/// route's limit alone.
+/// Attempts with unresponsive servers are limited only by the route.
 #[test]
 fn a_request_loses_two_servers_at_most() {
     let mut attempts = Attempts::new(RequestKind::Idempotent, 5);
@@ -84,7 +83,7 @@
 }
 
 proptest! {
-    /// A refusal (429, 503) promises that the request has not run.
+    /// A refusal (429 or 503) guarantees that the request has not run.
     #[test]
     fn a_refusal_requires_that_no_attempt_can_have_run(
         kind in kind(), limit in 0_u32..5, failures in prop::collection::vec(failure(), 1..12),
--- a/crates/core/tests/second_attempts.rs
+++ b/crates/core/tests/second_attempts.rs
@@ -1,4 +1,4 @@
-//! When a second attempt begins, and what it is worth, played without a network.
+//! Start, budget and effect of second attempts, simulated without a network.
 
 use latchwheel_core::directory::ServerRecord;
 use latchwheel_core::dispatch::{
@@ -54,7 +54,7 @@
     AttemptTime { expected: EXPECTED, spent: millis(spent), latency_target: millis(100) }
 }
 
-/// Time after which an answer is overdue: when there is no time left to wait for it.
+/// Time after which an answer is overdue; a latency target of zero leaves no further wait.
 fn overdue(attempts: &SecondAttempts, expected: Duration) -> Option<Duration> {
     attempts.due_after(ROUTE, &AttemptTime { expected, spent: Duration::ZERO, latency_target: Duration::ZERO })
 }
@@ -63,29 +63,29 @@
 fn an_answer_is_overdue_beyond_the_95th_percentile() {
     let mut attempts = SecondAttempts::default();
     note_answers(&mut attempts, ANSWERS_PER_SECOND_ATTEMPT - 1, |_| EXPECTED);
-    assert_eq!(overdue(&attempts, EXPECTED), None, "too little is known");
+    assert_eq!(overdue(&attempts, EXPECTED), None, "too few answers");
     let mut random = SmallRng::seed_from_u64(1);
     let times: Vec<f64> = (0..5000).map(|_| (random.random::<f64>() * 2.0).exp()).collect();
     note_answers(&mut attempts, 5000, |number| EXPECTED.mul_f64(times[number as usize]));
-    let late = overdue(&attempts, EXPECTED).expect("known").as_secs_f64() / EXPECTED.as_secs_f64();
+    let late = overdue(&attempts, EXPECTED).expect("enough answers").as_secs_f64() / EXPECTED.as_secs_f64();
     let later = times.iter().filter(|time| **time > late).count() as f64 / times.len() as f64;
-    assert!((0.01..0.1).contains(&later), "one in twenty, as good as it is estimated: {later}");
-    let twice = overdue(&attempts, EXPECTED * 2).expect("known");
+    assert!((0.01..0.1).contains(&later), "about one in twenty is overdue: {later}");
+    let twice = overdue(&attempts, EXPECTED * 2).expect("enough answers");
     assert!((twice.as_secs_f64() / EXPECTED.as_secs_f64() - late * 2.0).abs() < 1e-6);
-    assert_eq!(attempts.due_after(RouteKey(8), &start(0)), None, "each route by itself");
+    assert_eq!(attempts.due_after(RouteKey(8), &start(0)), None, "routes are independent");
 }
 
-/// Attempts that are overtaken have no time, but they were longer than an overdue one.
+/// An overtaken attempt has no measured time, but it took longer than the overdue time.
 #[test]
 fn overtaken_attempts_raise_the_overdue_time() {
     let mut attempts = SecondAttempts::default();
     note_answers(&mut attempts, 1000, |_| EXPECTED);
-    let before = overdue(&attempts, EXPECTED).expect("known");
+    let before = overdue(&attempts, EXPECTED).expect("enough answers");
     for _ in 0..20 {
-        let waited = overdue(&attempts, EXPECTED).expect("known") * 2;
+        let waited = overdue(&attempts, EXPECTED).expect("enough answers") * 2;
         attempts.note_overtaken(ROUTE, EXPECTED, waited);
     }
-    let after = overdue(&attempts, EXPECTED).expect("known");
+    let after = overdue(&attempts, EXPECTED).expect("enough answers");
     assert!(after > before.mul_f64(1.5), "{before:?} {after:?}");
 }
 
@@ -99,18 +99,17 @@
     }
     note_answers(&mut attempts, 100_000, |_| EXPECTED);
     let begun = (0..100).filter(|_| attempts.begin(ROUTE, &start(20))).count();
-    assert_eq!(begun, MAX_SAVED_ATTEMPTS as usize, "calm hours are not saved up");
+    assert_eq!(begun, MAX_SAVED_ATTEMPTS as usize, "the saved budget is bounded");
 }
 
-/// Most answers that are overdue come by themselves, and in time.
 #[test]
 fn a_second_attempt_begins_at_the_last_useful_time() {
     let mut attempts = SecondAttempts::default();
     note_answers(&mut attempts, 1000, |_| EXPECTED * 2);
-    let due = |spent| attempts.due_after(ROUTE, &start(spent)).expect("known").as_millis();
-    assert!((75..=80).contains(&due(0)), "in time if it takes as long: {}", due(0));
-    assert!((45..=50).contains(&due(30)), "the time before counts: {}", due(30));
-    assert!((20..=25).contains(&due(90)), "not before it is overdue: {}", due(90));
+    let due = |spent| attempts.due_after(ROUTE, &start(spent)).expect("enough answers").as_millis();
+    assert!((75..=80).contains(&due(0)), "in time if the second server takes as long: {}", due(0));
+    assert!((45..=50).contains(&due(30)), "time spent before counts: {}", due(30));
+    assert!((20..=25).contains(&due(90)), "not before the answer is overdue: {}", due(90));
 }
 
 #[test]
@@ -131,7 +130,7 @@
         dispatcher.expected_first_piece(at(0), placement, piece)
     };
     let first = placement(&dispatcher, 0, Duration::ZERO);
-    assert_eq!(first_piece(&dispatcher, &first, FirstPiece::OfStream), None, "no server tells its pace");
+    assert_eq!(first_piece(&dispatcher, &first, FirstPiece::OfStream), None, "no server has reported its slowdown");
     for (number, pace) in [(0, 100), (1, 300)] {
         let load = ServerLoad { running: 0, waiting: 0, slots: SLOTS, pace: Some(pace) };
         dispatcher.note_load(at(0), &name(number), load);
@@ -139,18 +138,18 @@
     let second = placement(&dispatcher, 1, Duration::ZERO);
     for piece in [FirstPiece::OfStream, FirstPiece::WholeAnswer] {
         let (usual, slow) = (
-            first_piece(&dispatcher, &first, piece).expect("told"),
-            first_piece(&dispatcher, &second, piece).expect("told"),
+            first_piece(&dispatcher, &first, piece).expect("reported"),
+            first_piece(&dispatcher, &second, piece).expect("reported"),
         );
         assert!(slow > usual * 2, "{piece:?}: {usual:?} {slow:?}");
     }
     let waits = placement(&dispatcher, 0, millis(50));
-    let more = first_piece(&dispatcher, &waits, FirstPiece::OfStream).expect("told")
-        - first_piece(&dispatcher, &first, FirstPiece::OfStream).expect("told");
+    let more = first_piece(&dispatcher, &waits, FirstPiece::OfStream).expect("reported")
+        - first_piece(&dispatcher, &first, FirstPiece::OfStream).expect("reported");
     assert_eq!(more, millis(50));
 }
 
-/// Whoever is overtaken never waits until its server is given up.
+/// Overtaken attempts are withdrawn before the timeout that would mark their server.
 #[test]
 fn an_unresponsive_server_is_avoided_after_two_overtaken_attempts() {
     let mut dispatcher = dispatcher();
@@ -160,22 +159,23 @@
     };
     dispatcher.note_heard(at(90), &name(0));
     dispatcher.note_overtaken(at(150), &name(0), at(100));
-    assert!(avoided(&dispatcher, at(150)).is_empty(), "one may be chance");
+    assert!(avoided(&dispatcher, at(150)).is_empty(), "one may be a coincidence");
     dispatcher.note_heard(at(160), &name(0));
     dispatcher.note_overtaken(at(170), &name(0), at(155));
     dispatcher.note_overtaken(at(190), &name(0), at(165));
-    assert!(avoided(&dispatcher, at(190)).is_empty(), "it was heard in between");
+    assert!(avoided(&dispatcher, at(190)).is_empty(), "contact in between");
     dispatcher.note_overtaken(at(200), &name(0), at(170));
     assert_eq!(avoided(&dispatcher, at(200)), [name(0)]);
 }
 
-/// One attempt in the play.
+/// An attempt in the simulation.
 #[derive(Clone)]
 struct Run {
     request: usize,
     sent: u64,
-    /// Milliseconds of work at the usual speed until the first piece, and to the end.
+    /// Milliseconds of work left until the first piece, at the usual speed.
     first_left: f64,
+    /// Milliseconds of work left in total, at the usual speed.
     left: f64,
     first_piece: u64,
     expected: Duration,
@@ -187,28 +187,29 @@
 struct Request {
     received: u64,
     first_piece: Option<u64>,
-    /// Looks for a second server so far; none follows a second attempt.
+    /// Number of tries to begin a second attempt.
     checks: u32,
     has_second: bool,
 }
 
 struct SimulationResult {
-    /// Time to the first piece of the slowest in a hundred, in ms.
+    /// 99th percentile of the time to the first piece, in milliseconds.
     p99: u64,
-    /// Share in time.
+    /// Share of the requests with their first piece in time.
     in_time: f64,
     begun: usize,
-    /// First attempts that brought their first piece.
+    /// Number of first attempts that delivered their first piece.
     answered: usize,
 }
 
-/// One in four works at 0.55 of the usual speed, the others at 1.2 times; every 600 ms one
-/// in seven is 2.5 times slower for half a second.
+/// Every fourth server has 0.55 of the usual speed, the others 1.2 times, each with temporary
+/// slowdowns.
 fn slowdown(number: usize, now: u64, seed: u64) -> f64 {
     let lasting = if number.is_multiple_of(4) { 1.0 / 0.55 } else { 1.0 / 1.2 };
     lasting * pace(number, now, seed)
 }
 
+/// In each period of 600 ms, about one server in seven is 2.5 times slower for 500 ms.
 fn pace(number: usize, now: u64, seed: u64) -> f64 {
     let chance = stable_hash(format!("{number} {} {seed}", now / 600).as_bytes()) % 100;
     if chance < 15 && now % 600 < 500 {
@@ -218,7 +219,7 @@
     }
 }
 
-/// In each second three other servers say nothing for 800 ms.
+/// In each second, three different servers are unresponsive for 800 ms.
 fn is_unresponsive(number: usize, now: u64) -> bool {
     let first = (now / 1000 * 7) as usize;
     now % 1000 < 800 && [first, first + 5, first + 10].iter().any(|server| server % SERVERS == number)
@@ -231,7 +232,7 @@
 const PIECES: u32 = 30;
 const CHECK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// A node that chooses by itself, and its servers.
+/// Simulation of a node and its servers.
 struct Simulation {
     seed: u64,
     with_second: bool,
@@ -261,7 +262,7 @@
         }
     }
 
-    /// 400 requests a second for 20 s.
+    /// Runs 400 requests per second for 20 s.
     fn run(mut self) -> SimulationResult {
         for now in 0..LENGTH {
             for number in (0..SERVERS).filter(|number| !is_unresponsive(*number, now)) {
@@ -278,7 +279,7 @@
         self.outcome()
     }
 
-    /// A millisecond of work at a server.
+    /// Runs a server for one millisecond.
     fn work(&mut self, now: u64, number: usize) {
         let speed = 1.0 / slowdown(number, now, self.seed);
         let mut firsts = Vec::new();
@@ -404,7 +405,7 @@
     for seed in [1, 2, 3] {
         let (without, with) = (Simulation::new(seed, false).run(), Simulation::new(seed, true).run());
         eprintln!(
-            "{seed}: slowest in a hundred {} ms, {} ms; in time {:.4}, {:.4}; begun {} of {}",
+            "{seed}: p99 {} ms, {} ms; in time {:.4}, {:.4}; begun {} of {}",
             without.p99, with.p99, without.in_time, with.in_time, with.begun, with.answered
         );
         assert!(with.in_time >= 0.95, "{seed}: {}", with.in_time);
