--- a/crates/core/src/quarantine/entries.rs
+++ b/crates/core/src/quarantine/entries.rs
@@ -21,7 +21,7 @@
 pub const QUARANTINE_LIMIT: usize = 1024;
 /// Maximum number of watched requests.
 const WATCH_LIMIT: usize = 1024;
-/// Time for which a request is watched after its last crash report.
+/// Time for which a request is watched after the last report about it.
 const WATCH_TTL: Duration = Duration::from_secs(3600);
 const MAX_SERVERS_PER_ENTRY: usize = 8;
 
@@ -67,7 +67,7 @@
 #[derive(Debug, Default)]
 pub struct Quarantine {
     entries: HashMap<Fingerprint, QuarantineEntry>,
-    /// Requests whose success must be reported, with the time of their last crash report.
+    /// Requests whose success must be reported, with the time of the last report.
     watched: HashMap<Fingerprint, (RequestKey, Instant)>,
     /// Requests held while a crash is evaluated. Each of them is watched.
     holds: Holds,
--- a/crates/core/src/quarantine/evidence.rs
+++ b/crates/core/src/quarantine/evidence.rs
@@ -53,8 +53,8 @@
     cleared: HashSet<Fingerprint>,
     /// Whether one of the requests is quarantined. The crash counts against no other request.
     explained: bool,
-    /// Whether the crash is part of a group loss and counts against no request. Reset if each
-    /// server of the group turns out to have a request with enough crashes of its own.
+    /// Whether the crash is part of a group loss and counts against no request; updated at
+    /// each decision.
     lost: bool,
 }
 
--- a/crates/core/tests/quarantine.rs
+++ b/crates/core/tests/quarantine.rs
@@ -216,15 +216,15 @@
 fn only_requests_of_a_suspected_shape_are_digested() {
     let content = |path, body| RequestContent { method: "POST", host: b"h", target: path, caller: b"", body };
     let mut quarantine = Quarantine::default();
-    let known = content("/a", b"body").key();
-    assert!(!quarantine.has_shape(known.shape));
-    assert!(quarantine.watch(known, at(0)));
+    let watched = content("/a", b"body").key();
+    assert!(!quarantine.has_shape(watched.shape));
+    assert!(quarantine.watch(watched, at(0)));
     assert!(quarantine.has_shape(content("/a", b"ydob").shape()));
     assert!(!quarantine.has_shape(content("/a", b"longer").shape()));
     assert!(!quarantine.has_shape(content("/b", b"body").shape()));
     assert_eq!(quarantine.note_success(content("/a", b"ydob").key().fingerprint, NOW), None);
-    assert_eq!(quarantine.note_success(known.fingerprint, NOW), Some(ClearedState::Suspicion));
-    assert!(!quarantine.has_shape(known.shape));
+    assert_eq!(quarantine.note_success(watched.fingerprint, NOW), Some(ClearedState::Suspicion));
+    assert!(!quarantine.has_shape(watched.shape));
 }
 
 #[test]
@@ -549,8 +549,8 @@
     // Simultaneous crashes under copies of one request are not a group loss.
     let mut evidence = CrashEvidence::default();
     for server in 0..3_u32 {
-        let beside = request(u64::from(200 + server));
-        evidence.note_crash(at(20), ServerKey(server), &[request(1), beside], 0, free);
+        let other = request(u64::from(200 + server));
+        evidence.note_crash(at(20), ServerKey(server), &[request(1), other], 0, free);
     }
     assert_eq!(quarantined(&evidence.decide(ALL_SETTLED, free)), [1]);
 }
