--- a/crates/core/src/admission/precedence_claims.rs
+++ b/crates/core/src/admission/precedence_claims.rs
@@ -25,7 +25,7 @@
 
 /// By what the first claims of tenants are compared: late claims last, then who was given
 /// least, then the time that is left.
-type TurnOrder = (bool, u64, Instant, ClaimId);
+type ServingOrder = (bool, u64, Instant, ClaimId);
 
 impl TenantClaims {
     fn len(&self) -> usize {
@@ -42,15 +42,15 @@
     }
 
     /// Moves what can't be in time any more behind the rest.
-    fn settle(&mut self, now: Instant, turned_late: &mut Vec<Claim>) {
+    fn move_late(&mut self, now: Instant, newly_late: &mut Vec<Claim>) {
         while let Some(entry) = self.timely.first_entry().filter(|entry| !entry.get().is_timely(now)) {
             let claim = entry.remove();
             self.late.insert((claim.waits_until, claim.id), claim);
-            turned_late.push(claim);
+            newly_late.push(claim);
         }
     }
 
-    fn turn(&self, virtual_time: u64) -> Option<TurnOrder> {
+    fn serving_order(&self, virtual_time: u64) -> Option<ServingOrder> {
         let start = self.finish.max(virtual_time);
         let timely = self.timely.first_key_value().map(|((until, id), _)| (false, start, *until, *id));
         timely.or_else(|| self.late.first_key_value().map(|((until, id), _)| (true, start, *until, *id)))
@@ -94,7 +94,7 @@
     }
 
     /// One whose share is used up is as good as a new one.
-    fn forget(&mut self, virtual_time: u64) {
+    fn evict(&mut self, virtual_time: u64) {
         while let Some((finish, tenant)) = self.order.first().copied() {
             if finish > virtual_time && self.order.len() <= TENANT_LIMIT {
                 return;
@@ -120,7 +120,7 @@
     has_timely: bool,
     has_late: bool,
     /// Claims that waited in vain for a slot in time, since they were asked for.
-    turned_late: Vec<Claim>,
+    newly_late: Vec<Claim>,
     /// Slots that went to claims of a higher precedence in a row while one waited here.
     pub(super) passed_over: u32,
 }
@@ -145,24 +145,24 @@
     /// The claims to try for one slot: the first one of each tenant in the order of their
     /// turns, and further ones of the same tenants where these are few. The first may be
     /// unable to use the server that has room.
-    pub(super) fn turns(&mut self, now: Instant, most: usize) -> Vec<Claim> {
+    pub(super) fn candidates(&mut self, now: Instant, limit: usize) -> Vec<Claim> {
         let virtual_time = self.virtual_time;
-        let mut turns: Vec<(TurnOrder, TenantKey)> = Vec::new();
+        let mut candidates: Vec<(ServingOrder, TenantKey)> = Vec::new();
         for (key, tenant) in &mut self.tenants {
-            tenant.settle(now, &mut self.turned_late);
-            turns.extend(tenant.turn(virtual_time).map(|turn| (turn, *key)));
+            tenant.move_late(now, &mut self.newly_late);
+            candidates.extend(tenant.serving_order(virtual_time).map(|serving_order| (serving_order, *key)));
         }
         self.has_timely = self.tenants.values().any(|tenant| !tenant.timely.is_empty());
         self.has_late = self.tenants.values().any(|tenant| !tenant.late.is_empty());
-        if turns.len() > most {
-            turns.select_nth_unstable(most);
-            turns.truncate(most);
+        if candidates.len() > limit {
+            candidates.select_nth_unstable(limit);
+            candidates.truncate(limit);
         }
-        turns.sort_unstable();
-        let tenants = turns.iter().filter_map(|(_, key)| self.tenants.get(key));
+        candidates.sort_unstable();
+        let tenants = candidates.iter().filter_map(|(_, key)| self.tenants.get(key));
         let first = tenants.clone().filter_map(|tenant| tenant.claims().next());
         let further = tenants.flat_map(|tenant| tenant.claims().skip(1));
-        first.chain(further).take(most).copied().collect()
+        first.chain(further).take(limit).copied().collect()
     }
 
     /// A claim gets a slot: its tenant is charged with its work.
@@ -187,7 +187,7 @@
             self.idle.insert(tenant, claims.finish);
             self.tenants.remove(&tenant);
         }
-        self.idle.forget(self.virtual_time);
+        self.idle.evict(self.virtual_time);
         Some(claim)
     }
 
@@ -201,13 +201,13 @@
 
     /// Expected wait of a claim by the slots that claims like it were given, and its tenant
     /// where that wants its share or more; one that wants less gets what it wants.
-    pub(super) fn wait_of(&self, claim: &Claim, in_time: bool) -> Option<Duration> {
+    pub(super) fn expected_wait(&self, claim: &Claim, in_time: bool) -> Option<Duration> {
         let tenant = self.tenants.get(&claim.tenant).filter(|tenant| tenant.len() * self.tenants.len() >= self.waiting);
-        let by_tenant = tenant.and_then(|tenant| tenant.wait_of(claim, in_time));
-        by_tenant.max(self.wait_of_like(claim, in_time))
+        let by_tenant = tenant.and_then(|tenant| tenant.expected_wait(claim, in_time));
+        by_tenant.max(self.wait_by_timeliness(claim, in_time))
     }
 
-    fn wait_of_like(&self, claim: &Claim, in_time: bool) -> Option<Duration> {
+    fn wait_by_timeliness(&self, claim: &Claim, in_time: bool) -> Option<Duration> {
         if in_time {
             return self.timely_drain.time_with_competition((self.ahead_of(claim, true) + 1) as f64);
         }
@@ -222,7 +222,7 @@
         for (drain, counts) in [(&mut self.timely_drain, self.has_timely), (&mut self.late_drain, self.has_late)] {
             drain.tick(now);
             if !counts {
-                drain.rest();
+                drain.set_idle();
             }
         }
     }
@@ -230,7 +230,7 @@
     /// The claims that can't be in time any more since this was asked last. They go behind
     /// others now, so that it has to be asked again whether they are reached.
     pub(super) fn take_newly_late(&mut self) -> Vec<Claim> {
-        std::mem::take(&mut self.turned_late)
+        std::mem::take(&mut self.newly_late)
     }
 
     /// Whether a claim waits that can still be in time; of each tenant the last one in the
@@ -281,7 +281,7 @@
     }
 
     /// Expected wait behind the claims of the same tenant.
-    fn wait_of(&self, claim: &Claim, in_time: bool) -> Option<Duration> {
+    fn expected_wait(&self, claim: &Claim, in_time: bool) -> Option<Duration> {
         self.drain.time_for((self.ahead_of(claim, in_time) + 1) as f64)
     }
 
--- a/crates/core/src/admission/queue.rs
+++ b/crates/core/src/admission/queue.rs
@@ -19,10 +19,10 @@
 pub const PASSED_OVER_LIMIT: u32 = 8;
 /// Part of the time that a caller stays within which a claim has to be expected to be
 /// reached: others that go before it are still to come.
-const REACHED_PART: f64 = 0.8;
+const MAX_WAIT_PART: f64 = 0.8;
 /// Claims that are tried in one round where the first ones can't use the servers that have
 /// room, since they failed there.
-const TRIED_AT_ONCE: usize = 4;
+const MAX_CANDIDATES: usize = 4;
 
 /// What became of a new claim.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -128,12 +128,12 @@
         self.tick(now);
         let position = self.position(now, &claim);
         let too_late = is_too_late(now, &claim, &position);
-        let displaced = if self.len() >= CLAIM_LIMIT { self.displaceable(&claim) } else { None };
-        if too_late || (self.len() >= CLAIM_LIMIT && displaced.is_none()) {
-            let retry_after = self.drain.promise(now, position.ahead);
+        let evicted = if self.len() >= CLAIM_LIMIT { self.evictable(&claim) } else { None };
+        if too_late || (self.len() >= CLAIM_LIMIT && evicted.is_none()) {
+            let retry_after = self.drain.schedule_retry(now, position.ahead);
             return (Entry::Refused { retry_after, position }, None);
         }
-        let refused = displaced.map(|last| self.refuse(now, last));
+        let refused = evicted.map(|last| self.refuse(now, last));
         self.insert(now, claim);
         (Entry::Queued(position), refused)
     }
@@ -151,7 +151,7 @@
     }
 
     /// The last claim of the lowest precedence, if that is lower than the claim's.
-    fn displaceable(&self, claim: &Claim) -> Option<Claim> {
+    fn evictable(&self, claim: &Claim) -> Option<Claim> {
         let (precedence, claims) = self.by_precedence.last_key_value()?;
         claims.last().filter(|_| *precedence > claim.precedence)
     }
@@ -159,7 +159,7 @@
     fn refuse(&mut self, now: Instant, claim: Claim) -> Refused {
         let ahead = self.position(now, &claim).ahead;
         self.withdraw(claim.id);
-        Refused { claim, retry_after: self.drain.promise(now, ahead) }
+        Refused { claim, retry_after: self.drain.schedule_retry(now, ahead) }
     }
 
     /// How a claim stands, or would stand if it were added.
@@ -187,29 +187,29 @@
     /// By the claims that go before it now, and by the slots that claims like it were left by
     /// others: of a higher precedence, or in time where it isn't, that will come, too.
     fn time_for(&self, claim: &Claim, ahead: usize, in_time: bool) -> Option<Duration> {
-        let by_queue = self.drain.time_for((ahead + 1) as f64 * self.slowed_by_others(claim.precedence));
+        let by_queue = self.drain.time_for((ahead + 1) as f64 * self.slowdown_by_lower(claim.precedence));
         let by_queue = by_queue?;
         let of_precedence = self.by_precedence.get(&claim.precedence);
-        let by_part = of_precedence.and_then(|claims| claims.wait_of(claim, in_time));
-        Some(by_part.map_or(by_queue, |by_part| by_part.max(by_queue)))
+        let by_class = of_precedence.and_then(|claims| claims.expected_wait(claim, in_time));
+        Some(by_class.map_or(by_queue, |by_class| by_class.max(by_queue)))
     }
 
     /// By how much a precedence waits longer since lower ones get some slots.
-    fn slowed_by_others(&self, precedence: u32) -> f64 {
+    fn slowdown_by_lower(&self, precedence: u32) -> f64 {
         let lower = self.by_precedence.range(precedence.saturating_add(1)..).count();
         1.0 + lower as f64 / f64::from(PASSED_OVER_LIMIT)
     }
 
     /// Its caller is gone, or it has found a place elsewhere.
     pub fn withdraw(&mut self, id: ClaimId) -> Option<Claim> {
-        let place = self.forget_place(id)?;
+        let place = self.remove_place(id)?;
         let claims = self.by_precedence.get_mut(&place.precedence)?;
         let claim = claims.remove(place.tenant, id);
-        self.forget_empty(place.precedence);
+        self.remove_if_empty(place.precedence);
         claim
     }
 
-    fn forget_place(&mut self, id: ClaimId) -> Option<Place> {
+    fn remove_place(&mut self, id: ClaimId) -> Option<Place> {
         let place = self.waiting.remove(&id)?;
         self.expiries.remove(&(place.waits_until, id));
         Some(place)
@@ -224,12 +224,12 @@
     }
 
     /// Shares count only while claims of a precedence wait.
-    fn forget_empty(&mut self, precedence: u32) {
+    fn remove_if_empty(&mut self, precedence: u32) {
         if self.by_precedence.get(&precedence).is_some_and(|claims| claims.len() == 0) {
             self.by_precedence.remove(&precedence);
         }
         if self.waiting.is_empty() {
-            self.drain.rest();
+            self.drain.set_idle();
         }
     }
 
@@ -239,35 +239,35 @@
         let mut granted = Vec::new();
         while !self.is_empty() {
             self.tick(now);
-            let turns = self.turns(now);
-            let found = turns.into_iter().find_map(|claim| place(&claim).map(|place| Granted { claim, place }));
+            let candidates = self.candidates(now);
+            let found = candidates.into_iter().find_map(|claim| place(&claim).map(|place| Granted { claim, place }));
             let Some(found) = found else { break };
-            self.take_turn(now, &found.claim);
+            self.note_granted_claim(now, &found.claim);
             granted.push(found);
         }
         granted
     }
 
     /// The claims whose turn it is, the first one first.
-    fn turns(&mut self, now: Instant) -> Vec<Claim> {
+    fn candidates(&mut self, now: Instant) -> Vec<Claim> {
         let overdue = self.by_precedence.iter().find(|(_, claims)| claims.passed_over >= PASSED_OVER_LIMIT);
         let first = overdue.map(|(precedence, _)| *precedence);
         let mut order: Vec<u32> = self.by_precedence.keys().copied().collect();
         order.sort_by_key(|precedence| Some(*precedence) != first);
-        let mut turns = Vec::new();
+        let mut candidates = Vec::new();
         for precedence in order {
-            let most = TRIED_AT_ONCE.saturating_sub(turns.len());
-            if most == 0 {
+            let limit = MAX_CANDIDATES.saturating_sub(candidates.len());
+            if limit == 0 {
                 break;
             }
-            turns.extend(
-                self.by_precedence.get_mut(&precedence).map(|claims| claims.turns(now, most)).unwrap_or_default(),
+            candidates.extend(
+                self.by_precedence.get_mut(&precedence).map(|claims| claims.candidates(now, limit)).unwrap_or_default(),
             );
         }
-        turns
+        candidates
     }
 
-    fn take_turn(&mut self, now: Instant, claim: &Claim) {
+    fn note_granted_claim(&mut self, now: Instant, claim: &Claim) {
         for (_, claims) in self.by_precedence.range_mut(claim.precedence.saturating_add(1)..) {
             claims.passed_over = claims.passed_over.saturating_add(1);
         }
@@ -275,9 +275,9 @@
             claims.passed_over = 0;
             claims.grant(now, claim);
         }
-        self.forget_place(claim.id);
+        self.remove_place(claim.id);
         self.drain.note_granted();
-        self.forget_empty(claim.precedence);
+        self.remove_if_empty(claim.precedence);
     }
 
     /// Claims that have waited for as long as they may, and those that lost their time to be
@@ -287,13 +287,13 @@
             return Vec::new();
         }
         self.tick(now);
-        let over: Vec<ClaimId> =
+        let expired: Vec<ClaimId> =
             self.expiries.iter().take_while(|(until, _)| *until <= now).map(|(_, id)| *id).collect();
-        let over: Vec<Claim> = over.into_iter().filter_map(|id| self.claim(id)).collect();
-        let mut refused: Vec<Refused> = over.into_iter().map(|claim| self.refuse(now, claim)).collect();
-        let turned_late: Vec<Claim> =
+        let expired: Vec<Claim> = expired.into_iter().filter_map(|id| self.claim(id)).collect();
+        let mut refused: Vec<Refused> = expired.into_iter().map(|claim| self.refuse(now, claim)).collect();
+        let newly_late: Vec<Claim> =
             self.by_precedence.values_mut().flat_map(PrecedenceClaims::take_newly_late).collect();
-        for claim in turned_late {
+        for claim in newly_late {
             if self.waiting.contains_key(&claim.id) && is_too_late(now, &claim, &self.position(now, &claim)) {
                 refused.push(self.refuse(now, claim));
             }
@@ -338,6 +338,6 @@
 
 /// Whether a claim won't get a slot while its caller stays.
 fn is_too_late(now: Instant, claim: &Claim, position: &QueuePosition) -> bool {
-    let stays = claim.waits_until.since(now);
-    position.wait.is_some_and(|wait| wait > stays.mul_f64(REACHED_PART))
+    let remaining = claim.waits_until.since(now);
+    position.wait.is_some_and(|wait| wait > remaining.mul_f64(MAX_WAIT_PART))
 }
--- a/crates/core/src/holding.rs
+++ b/crates/core/src/holding.rs
@@ -15,28 +15,28 @@
 /// Part of its latency target that a request waits for a slot at most and can be in
 /// time: the rest is for reading the prompt and the ways, and for slots that are free
 /// later than expected.
-const TIMELY_PART: f64 = 0.6;
+const TIMELY_WAIT_PART: f64 = 0.6;
 /// Part of the time that a request has left in which it is held at most: it has to be
 /// served after that, or to ask again.
-const HELD_PART: f64 = 0.5;
+const HOLD_PART: f64 = 0.5;
 /// Weight of one outcome in the share of held requests that were served.
 const OUTCOME_WEIGHT: f64 = 0.1;
 /// Held requests are worth while if at least this share of the last ones was served.
-const LEAST_SERVED: f64 = 0.5;
+const MIN_SERVED_SHARE: f64 = 0.5;
 /// Where they are not, so many in a hundred are held still, to find out.
-const PROBES_IN_HUNDRED: f64 = 10.0;
+const PROBE_PERCENT: f64 = 10.0;
 /// Time after which former outcomes prove nothing.
-const MEMORY: Duration = Duration::from_secs(5);
+const OUTCOME_TTL: Duration = Duration::from_secs(5);
 
 /// Longest wait for a slot with which a request can be in time.
 pub fn timely_wait(latency_target: Duration) -> Duration {
-    latency_target.mul_f64(TIMELY_PART)
+    latency_target.mul_f64(TIMELY_WAIT_PART)
 }
 
 /// Longest time to hold a request that has so much time left, and whose caller stays
-/// for `patience` more without an answer, if that is known.
-pub fn max_hold(left: Duration, patience: Option<Duration>) -> Duration {
-    patience.map_or(left, |patience| left.min(patience)).mul_f64(HELD_PART)
+/// for `caller_timeout` more without an answer, if that is known.
+pub fn max_hold(left: Duration, caller_timeout: Option<Duration>) -> Duration {
+    caller_timeout.map_or(left, |caller_timeout| left.min(caller_timeout)).mul_f64(HOLD_PART)
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -54,14 +54,14 @@
 impl HoldOutcomes {
     /// Whether to hold a request; `draw` is a random number from 0 to 1.
     pub fn should_hold(&self, now: Instant, service: &str, draw: f64) -> bool {
-        let fresh = self.services.get(service).filter(|outcomes| now.since(outcomes.at) < MEMORY);
-        fresh.is_none_or(|outcomes| outcomes.served >= LEAST_SERVED || draw * 100.0 < PROBES_IN_HUNDRED)
+        let recent = self.services.get(service).filter(|outcomes| now.since(outcomes.at) < OUTCOME_TTL);
+        recent.is_none_or(|outcomes| outcomes.served >= MIN_SERVED_SHARE || draw * 100.0 < PROBE_PERCENT)
     }
 
     /// A held request was served in the end, or refused.
     pub fn note(&mut self, now: Instant, service: &Arc<str>, served: bool) {
         let outcomes = self.services.entry(service.clone()).or_insert(Outcomes { served: 1.0, at: now });
-        if now.since(outcomes.at) >= MEMORY {
+        if now.since(outcomes.at) >= OUTCOME_TTL {
             outcomes.served = 1.0;
         }
         let outcome = if served { 1.0 } else { 0.0 };
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -13,20 +13,20 @@
 /// Validity of a share.
 pub const SHARE_VALIDITY: Duration = Duration::from_secs(5);
 /// A node asks again this long before its share lapses.
-pub const SHARE_RENEWAL: Duration = Duration::from_secs(1);
+pub const SHARE_RENEWAL_MARGIN: Duration = Duration::from_secs(1);
 /// Demand is measured over at least this many seconds, or over the shorter
 /// time where a request was refused.
-const DEMAND_SECONDS: f64 = 4.0;
-const PRESSED_SECONDS: f64 = 0.2;
+const DEMAND_WINDOW_SECONDS: f64 = 4.0;
+const REFUSAL_WINDOW_SECONDS: f64 = 0.2;
 /// A few requests are no demand that a home has to know of.
-const DEMAND_LEAST: u64 = 4;
+const MIN_DEMAND_REQUESTS: u64 = 4;
 /// Part of a row's rate that is divided evenly.
 pub const EVEN_PART: f64 = 0.5;
 /// Requests may come in bursts of this many seconds of the rate.
 const BURST_SECONDS: f64 = 1.0;
 /// A node takes bursts of up to this many requests, though not more than a
 /// second of the row's whole rate, however small its own part is.
-const NODE_BURST: f64 = 4.0;
+const NODE_BURST_REQUESTS: f64 = 4.0;
 
 /// A token bucket.
 #[derive(Clone, Debug)]
@@ -90,7 +90,7 @@
     demand_since: Instant,
     refused: bool,
     /// When the home was last asked before a refusal.
-    pressed_at: Option<Instant>,
+    urgent_demand_at: Option<Instant>,
     valid_until: Instant,
     even: f64,
     leased: f64,
@@ -134,11 +134,11 @@
         let even = row_rate * EVEN_PART / nodes.max(1) as f64;
         if !self.shares.contains_key(row) {
             let share = HeldShare {
-                bucket: Bucket::with_burst(now, even, (row_rate * BURST_SECONDS).min(NODE_BURST)),
+                bucket: Bucket::with_burst(now, even, (row_rate * BURST_SECONDS).min(NODE_BURST_REQUESTS)),
                 demand: 0,
                 demand_since: now,
                 refused: false,
-                pressed_at: None,
+                urgent_demand_at: None,
                 valid_until: now,
                 even,
                 leased: 0.0,
@@ -164,12 +164,12 @@
         let mut demands = Vec::new();
         for (row, share) in &mut self.shares {
             let seconds = now.since(share.demand_since).as_secs_f64();
-            let least = if share.refused { PRESSED_SECONDS } else { DEMAND_SECONDS };
-            if now + SHARE_RENEWAL < share.valid_until || seconds < least {
+            let window = if share.refused { REFUSAL_WINDOW_SECONDS } else { DEMAND_WINDOW_SECONDS };
+            if now + SHARE_RENEWAL_MARGIN < share.valid_until || seconds < window {
                 continue;
             }
             let per_second = share.demand as f64 / seconds;
-            if share.refused || (share.demand >= DEMAND_LEAST && per_second > share.even) {
+            if share.refused || (share.demand >= MIN_DEMAND_REQUESTS && per_second > share.even) {
                 demands.push(ShareDemand { row: row.clone(), per_second });
             }
             share.demand = 0;
@@ -183,21 +183,21 @@
     /// was asked a moment ago.
     pub fn urgent_demands(&mut self, now: Instant, row: &str) -> Vec<ShareDemand> {
         let Some(share) = self.shares.get_mut(row) else { return Vec::new() };
-        let asked_lately = share.pressed_at.is_some_and(|at| now.since(at).as_secs_f64() < PRESSED_SECONDS);
-        if asked_lately || now + SHARE_RENEWAL < share.valid_until {
+        let sent_lately = share.urgent_demand_at.is_some_and(|at| now.since(at).as_secs_f64() < REFUSAL_WINDOW_SECONDS);
+        if sent_lately || now + SHARE_RENEWAL_MARGIN < share.valid_until {
             return Vec::new();
         }
-        share.pressed_at = Some(now);
-        let seconds = now.since(share.demand_since).as_secs_f64().max(PRESSED_SECONDS);
+        share.urgent_demand_at = Some(now);
+        let seconds = now.since(share.demand_since).as_secs_f64().max(REFUSAL_WINDOW_SECONDS);
         vec![ShareDemand { row: row.to_owned(), per_second: share.demand as f64 / seconds }]
     }
 
-    /// Takes the home's answer; `asked_at` is when the request was sent, since
+    /// Takes the home's answer; `requested_at` is when the request was sent, since
     /// a lease counts from before it was asked for.
-    pub fn granted(&mut self, now: Instant, asked_at: Instant, row: &str, rate: f64) {
+    pub fn granted(&mut self, now: Instant, requested_at: Instant, row: &str, rate: f64) {
         if let Some(share) = self.shares.get_mut(row) {
             share.leased = rate;
-            share.valid_until = asked_at + SHARE_VALIDITY;
+            share.valid_until = requested_at + SHARE_VALIDITY;
             let rate = share.rate(now);
             share.bucket.set_rate(now, rate);
         }
@@ -205,7 +205,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Claim {
+struct IssuedShare {
     demand: f64,
     granted: f64,
     until: Instant,
@@ -214,7 +214,7 @@
 /// The limits as the home of rows sees them.
 #[derive(Debug, Default)]
 pub struct ShareIssuer {
-    claims: HashMap<String, BTreeMap<NodeId, Claim>>,
+    issued: HashMap<String, BTreeMap<NodeId, IssuedShare>>,
 }
 
 impl ShareIssuer {
@@ -223,14 +223,14 @@
     /// never exceeds that part.
     pub fn grant(&mut self, now: Instant, row: &str, row_rate: f64, node: NodeId, demand: f64) -> f64 {
         let rate = row_rate * (1.0 - EVEN_PART);
-        let claims = self.claims.entry(row.to_owned()).or_default();
-        claims.retain(|_, claim| now < claim.until);
-        let others: f64 = claims.iter().filter(|(id, _)| **id != node).map(|(_, claim)| claim.granted).sum();
-        let wanted: f64 = claims.iter().filter(|(id, _)| **id != node).map(|(_, claim)| claim.demand).sum();
-        let total = (wanted + demand).max(f64::MIN_POSITIVE);
-        let fair = rate * demand / total;
-        let granted = fair.min(rate - others).max(0.0);
-        claims.insert(node, Claim { demand, granted, until: now + SHARE_VALIDITY });
+        let issued = self.issued.entry(row.to_owned()).or_default();
+        issued.retain(|_, share| now < share.until);
+        let others_granted: f64 = issued.iter().filter(|(id, _)| **id != node).map(|(_, share)| share.granted).sum();
+        let others_demand: f64 = issued.iter().filter(|(id, _)| **id != node).map(|(_, share)| share.demand).sum();
+        let total = (others_demand + demand).max(f64::MIN_POSITIVE);
+        let proportional = rate * demand / total;
+        let granted = proportional.min(rate - others_granted).max(0.0);
+        issued.insert(node, IssuedShare { demand, granted, until: now + SHARE_VALIDITY });
         granted
     }
 }
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn what_nobody_else_wants_is_used_and_not_charged_for() {
+fn spare_slots_are_used_and_not_charged_for() {
     let mut queue = queue(at(0), (0..50).map(|number| claim(number, 0, 1)));
     assert_eq!(granted(&mut queue, at(1), 40).len(), 40);
     // Another tenant comes: from now on both get the same, no matter what was used before.
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_tenant_that_was_idle_has_saved_nothing_up() {
+fn an_idle_tenant_saves_up_no_share() {
     let mut queue = queue(at(0), (0..40).map(|number| claim(number, 0, 1 + number % 2)));
     assert_eq!(granted(&mut queue, at(1), 20).len(), 20);
     (100..120).for_each(|number| assert!(queue.add(at(2), claim(number, 0, 3)).1.is_none()));
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_claim_that_will_not_be_reached_is_refused_at_once_with_a_time_when_there_is_room() {
+fn a_claim_that_will_not_get_a_slot_is_refused_at_once_with_a_retry_time() {
     let mut queue = queue(at(0), (0..600).map(|number| claim(number, 0, 1)));
     // 100 slots come free in a second.
     for step in 1..=200 {
@@ -151,7 +151,7 @@
 }
 
 #[test]
-fn a_rate_from_before_a_rest_refuses_nobody() {
+fn a_rate_from_before_an_idle_time_is_not_used() {
     // Servers were away: one slot came free in a second.
     let mut queue = queue(at(0), (0..4).map(|number| claim(number, 0, 1)));
     for step in 1..=4 {
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn claims_end_when_their_callers_have_to_be_told() {
+fn claims_expire_at_their_deadline() {
     let mut queue = queue(at(0), [claim(1, 0, 1), Claim { waits_until: at(900), ..claim(2, 0, 1) }]);
     assert!(queue.expire(at(899)).is_empty());
     let refused: Vec<u64> = queue.expire(at(900)).iter().map(|refused| refused.claim.id.number).collect();
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn a_node_that_is_gone_leaves_no_claims() {
+fn claims_of_a_removed_node_are_dropped() {
     let elsewhere = |number| Claim { id: ClaimId { node: NodeId(8), number }, ..claim(number, 0, 1) };
     let mut queue = queue(at(0), [claim(1, 0, 1), elsewhere(1), elsewhere(2)]);
     queue.withdraw_node(NodeId(8));
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_full_queue_gives_up_the_last_of_a_lower_precedence_and_no_other() {
+fn a_full_queue_evicts_only_the_last_claim_of_a_lower_precedence() {
     let mut queue = queue(at(0), (0..CLAIM_LIMIT as u64).map(|number| claim(number, 1, 1)));
     let (entry, refused) = queue.add(at(0), claim(9000, 0, 2));
     assert!(matches!(entry, Entry::Queued(_)), "{entry:?}");
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_changed_precedence_holds_for_claims_that_wait() {
+fn a_changed_precedence_applies_to_waiting_claims() {
     let mut queue = queue(at(0), [claim(1, 1, 1), claim(2, 1, 2), claim(3, 1, 3)]);
     let changed = queue.set_precedences(at(1), |claim| if claim.tenant == TenantKey(3) { 0 } else { 1 });
     assert_eq!(changed, 1);
@@ -260,9 +260,9 @@
 }
 
 #[test]
-fn what_a_node_read_in_a_newer_table_holds() {
-    let told_by = |table_version, number| Claim { table_version, ..claim(number, 1, 1) };
-    let mut queue = queue(at(0), [told_by(1, 1), told_by(3, 2)]);
+fn a_claim_from_a_newer_table_keeps_its_precedence() {
+    let from_table = |table_version, number| Claim { table_version, ..claim(number, 1, 1) };
+    let mut queue = queue(at(0), [from_table(1, 1), from_table(3, 2)]);
     assert_eq!(queue.follow_table(at(1), &table(2, 0)), 1);
     assert_eq!(granted(&mut queue, at(2), 2), [1, 2]);
     // A queue that begins anew knows no more than the table.
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn work_counts_the_prompt_and_more_so_the_answer() {
+fn output_tokens_weigh_more_than_prompt_tokens() {
     let parts = vec![PromptPart { key: 1, tokens: 200 }, PromptPart { key: 2, tokens: 250 }];
     assert_eq!(work_of(&Prompt { parts, output_tokens: 20 }), 650);
     assert_eq!(work_of(&Prompt::default()), 1);
@@ -278,15 +278,15 @@
 
 /// Milliseconds for which no slot comes free, and for which slots come free afterwards.
 const OUTAGE_MS: u64 = 10_000;
-const RETURN_MS: u64 = 4_000;
+const RECOVERY_MS: u64 = 4_000;
 
 /// A queue that saw no slot for long is not to send callers away once there are slots for all
 /// of them: how fast it drains is measured again from the few that it takes.
 #[test]
-fn after_an_outage_callers_are_taken_again() {
+fn after_an_outage_callers_are_accepted_again() {
     let mut queue = ClaimQueue::default();
     let (mut number, mut refused_at_the_end) = (0, 0);
-    for millisecond in 0..OUTAGE_MS + RETURN_MS {
+    for millisecond in 0..OUTAGE_MS + RECOVERY_MS {
         let now = at(millisecond);
         if millisecond % 20 == 0 {
             number += 1;
@@ -296,7 +296,7 @@
                 ..claim(number, 0, 1)
             };
             let refused = matches!(queue.add(now, claim).0, Entry::Refused { .. });
-            let at_the_end = millisecond >= OUTAGE_MS + RETURN_MS / 2;
+            let at_the_end = millisecond >= OUTAGE_MS + RECOVERY_MS / 2;
             refused_at_the_end += u32::from(refused && at_the_end);
         }
         queue.expire(now);
@@ -310,38 +310,39 @@
 /// Callers that are refused while no slot comes free are not counted as those that will be
 /// back before others once some do.
 #[test]
-fn refusals_of_an_outage_are_forgotten() {
+fn refusals_of_an_outage_do_not_delay_later_callers() {
     const BURST: u64 = 600;
     let mut queue = ClaimQueue::default();
-    let stays = |number, from| Claim { timely_until: at(from), waits_until: at(from + 1000), ..claim(number, 0, 1) };
+    let claim_from =
+        |number, from| Claim { timely_until: at(from), waits_until: at(from + 1000), ..claim(number, 0, 1) };
     for millisecond in 0..OUTAGE_MS {
-        queue.add(at(millisecond), stays(millisecond, millisecond));
+        queue.add(at(millisecond), claim_from(millisecond, millisecond));
         queue.expire(at(millisecond));
     }
     // A slot in each two milliseconds: the burst is served in 1.2 s, and nobody who is
     // refused is told more than twice that.
-    let mut told = Vec::new();
-    for millisecond in OUTAGE_MS..OUTAGE_MS + RETURN_MS {
+    let mut retry_times = Vec::new();
+    for millisecond in OUTAGE_MS..OUTAGE_MS + RECOVERY_MS {
         let now = at(millisecond);
-        let burst_at = OUTAGE_MS + RETURN_MS / 2;
+        let burst_at = OUTAGE_MS + RECOVERY_MS / 2;
         let count = if millisecond == burst_at { BURST } else { u64::from(millisecond % 4 == 0) };
         for number in 0..count {
-            let entry = queue.add(now, stays(millisecond * BURST + number, millisecond)).0;
+            let entry = queue.add(now, claim_from(millisecond * BURST + number, millisecond)).0;
             if let Entry::Refused { retry_after, .. } = entry {
-                told.push((now, retry_after));
+                retry_times.push((now, retry_after));
             }
         }
         granted(&mut queue, now, usize::from(millisecond % 2 == 0));
-        told.extend(queue.expire(now).into_iter().map(|refused| (now, refused.retry_after)));
+        retry_times.extend(queue.expire(now).into_iter().map(|refused| (now, refused.retry_after)));
     }
-    let of_burst = told.into_iter().filter(|(when, _)| *when >= at(OUTAGE_MS + RETURN_MS / 2));
+    let of_burst = retry_times.into_iter().filter(|(when, _)| *when >= at(OUTAGE_MS + RECOVERY_MS / 2));
     let longest = of_burst.map(|(_, retry_after)| retry_after).max().expect("some of the burst are refused");
     assert!(longest <= Duration::from_millis(2 * 2 * BURST), "{longest:?}");
 }
 
 /// A service whose requests all find free slots measures nothing meanwhile.
 #[test]
-fn a_queue_without_claims_forgets_no_rate() {
+fn an_idle_queue_measures_no_rate() {
     let mut queue = ClaimQueue::default();
     for millisecond in 0..OUTAGE_MS {
         assert!(queue.expire(at(millisecond)).is_empty());
@@ -355,7 +356,7 @@
 
 /// Batch work waits behind claims that can be in time, and not behind those that are late.
 #[test]
-fn a_queue_tells_whether_a_claim_can_still_be_in_time() {
+fn has_timely_reports_whether_a_claim_can_still_be_in_time() {
     let mut queue = queue(at(0), [claim(1, 0, 1), Claim { timely_until: at(90), ..claim(2, 0, 2) }]);
     assert!(queue.has_timely(at(100)));
     assert!(!queue.has_timely(at(181)));
--- a/crates/core/tests/admission_schedules.rs
+++ b/crates/core/tests/admission_schedules.rs
@@ -14,13 +14,13 @@
 use std::ops::Range;
 use std::time::Duration;
 
-const KEEPERS: usize = 3;
+const TRACKERS: usize = 3;
 const NODES: u64 = 12;
-const PLAYED_MS: u64 = 4000;
+const SIMULATED_MS: u64 = 4000;
 const STEP_MS: u64 = 5;
 /// After so long without a word a node asks another keeper.
-const SILENCE: Duration = Duration::from_millis(350);
-const STAYS: Duration = Duration::from_millis(1500);
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(350);
+const CALLER_TIMEOUT: Duration = Duration::from_millis(1500);
 const LOSS: f64 = 0.02;
 
 fn at(milliseconds: u64) -> Instant {
@@ -31,7 +31,7 @@
 struct Waiting {
     claim: Claim,
     tracker: usize,
-    heard_at: Instant,
+    contact_at: Instant,
 }
 
 struct World {
@@ -42,39 +42,39 @@
     numbers: u64,
     /// Precedence of each tenant by the present table.
     precedences: [u32; 4],
-    dead: Option<usize>,
+    failed: Option<usize>,
 }
 
 impl World {
     fn new(seed: u64) -> Self {
         Self {
             random: SmallRng::seed_from_u64(seed),
-            trackers: (0..KEEPERS).map(|_| ClaimQueue::default()).collect(),
+            trackers: (0..TRACKERS).map(|_| ClaimQueue::default()).collect(),
             waiting: HashMap::new(),
             ended: HashSet::new(),
             numbers: 0,
             precedences: [0, 0, 1, 2],
-            dead: None,
+            failed: None,
         }
     }
 
-    fn play(&mut self) {
-        let dies_at = self.random.random_range(500..2500);
-        for millisecond in (0..PLAYED_MS).step_by(STEP_MS as usize) {
+    fn run(&mut self) {
+        let fails_at = self.random.random_range(500..2500);
+        for millisecond in (0..SIMULATED_MS).step_by(STEP_MS as usize) {
             let now = at(millisecond);
-            if millisecond < PLAYED_MS - 2500 {
+            if millisecond < SIMULATED_MS - 2500 {
                 (0..self.random.random_range(0..4)).for_each(|_| self.arrive(now));
             }
-            if self.dead.is_none() && millisecond >= dies_at {
-                self.dead = Some(self.random.random_range(0..KEEPERS));
+            if self.failed.is_none() && millisecond >= fails_at {
+                self.failed = Some(self.random.random_range(0..TRACKERS));
             }
-            self.disturb(now);
-            let dead = self.dead;
-            (0..KEEPERS).filter(|tracker| Some(*tracker) != dead).for_each(|tracker| self.serve(now, tracker));
-            self.ask_again(now);
+            self.inject_faults(now);
+            let failed = self.failed;
+            (0..TRACKERS).filter(|tracker| Some(*tracker) != failed).for_each(|tracker| self.serve(now, tracker));
+            self.retry_unanswered(now);
         }
         assert!(self.waiting.is_empty(), "{} requests wait for ever", self.waiting.len());
-        let alive = (0..KEEPERS).filter(|tracker| Some(*tracker) != self.dead);
+        let alive = (0..TRACKERS).filter(|tracker| Some(*tracker) != self.failed);
         let left: usize = alive.map(|tracker| self.trackers[tracker].len()).sum();
         assert_eq!(left, 0, "claims of nobody stay");
     }
@@ -90,20 +90,20 @@
             route: RouteKey::of("route"),
             work: self.random.random_range(1..1000),
             timely_until: now + Duration::from_millis(180),
-            waits_until: now + STAYS,
+            waits_until: now + CALLER_TIMEOUT,
         };
-        self.ask(now, claim);
+        self.send_claim(now, claim);
     }
 
     /// A node leaves its claim at a keeper, if the message arrives.
-    fn ask(&mut self, now: Instant, claim: Claim) {
-        let tracker = self.random.random_range(0..KEEPERS);
-        self.waiting.insert(claim.id, Waiting { claim, tracker, heard_at: now });
-        if Some(tracker) == self.dead || self.random.random_bool(LOSS) {
+    fn send_claim(&mut self, now: Instant, claim: Claim) {
+        let tracker = self.random.random_range(0..TRACKERS);
+        self.waiting.insert(claim.id, Waiting { claim, tracker, contact_at: now });
+        if Some(tracker) == self.failed || self.random.random_bool(LOSS) {
             return;
         }
-        let (entry, displaced) = self.trackers[tracker].add(now, claim);
-        assert!(displaced.is_none());
+        let (entry, evicted) = self.trackers[tracker].add(now, claim);
+        assert!(evicted.is_none());
         if let Entry::Refused { retry_after, .. } = entry {
             assert!(retry_after > Duration::ZERO);
             self.end(claim.id);
@@ -111,7 +111,7 @@
     }
 
     /// Callers leave, nodes fall silent, tables change.
-    fn disturb(&mut self, now: Instant) {
+    fn inject_faults(&mut self, now: Instant) {
         if self.random.random_bool(0.05) {
             let gone = self.waiting.keys().min().copied();
             if let Some(id) = gone {
@@ -138,7 +138,7 @@
 
     fn serve(&mut self, now: Instant, tracker: usize) {
         for refused in self.trackers[tracker].expire(now) {
-            self.end_if_heard(refused.claim.id, tracker);
+            self.end_unless_lost(refused.claim.id, tracker);
         }
         let mut slots = self.random.random_range(0..2_usize);
         let place = |_: &Claim| {
@@ -149,35 +149,35 @@
         let mut seen = HashSet::new();
         for granted in granted {
             assert!(seen.insert(granted.claim.id), "granted twice by one keeper");
-            self.end_if_heard(granted.claim.id, tracker);
+            self.end_unless_lost(granted.claim.id, tracker);
         }
         for (node, numbers) in self.trackers[tracker].by_node() {
             for number in numbers {
                 if let Some(waiting) = self.waiting.get_mut(&ClaimId { node, number }) {
-                    waiting.heard_at = if waiting.tracker == tracker { now } else { waiting.heard_at };
+                    waiting.contact_at = if waiting.tracker == tracker { now } else { waiting.contact_at };
                 }
             }
         }
     }
 
     /// The keeper's word is lost now and then: then the node asks again.
-    fn end_if_heard(&mut self, id: ClaimId, tracker: usize) {
+    fn end_unless_lost(&mut self, id: ClaimId, tracker: usize) {
         let waits_there = self.waiting.get(&id).is_some_and(|waiting| waiting.tracker == tracker);
         if waits_there && !self.random.random_bool(LOSS) {
             self.end(id);
         }
     }
 
-    fn ask_again(&mut self, now: Instant) {
-        let silent = self.waiting.values().filter(|waiting| now.since(waiting.heard_at) >= SILENCE);
-        let mut silent: Vec<(Claim, usize)> = silent.map(|waiting| (waiting.claim, waiting.tracker)).collect();
-        silent.sort_unstable_by_key(|(claim, _)| claim.id);
-        for (claim, tracker) in silent {
+    fn retry_unanswered(&mut self, now: Instant) {
+        let unanswered = self.waiting.values().filter(|waiting| now.since(waiting.contact_at) >= RESPONSE_TIMEOUT);
+        let mut unanswered: Vec<(Claim, usize)> = unanswered.map(|waiting| (waiting.claim, waiting.tracker)).collect();
+        unanswered.sort_unstable_by_key(|(claim, _)| claim.id);
+        for (claim, tracker) in unanswered {
             self.trackers[tracker].withdraw(claim.id);
             if now >= claim.waits_until {
                 self.end(claim.id);
             } else {
-                self.ask(now, claim);
+                self.send_claim(now, claim);
             }
         }
     }
@@ -197,6 +197,6 @@
 fn every_claim_ends_once_whatever_is_lost() {
     for seed in seeds() {
         println!("seed {seed}");
-        World::new(seed).play();
+        World::new(seed).run();
     }
 }
--- a/crates/core/tests/holding.rs
+++ b/crates/core/tests/holding.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn nobody_is_held_longer_than_callers_stay() {
+fn no_request_is_held_longer_than_its_caller_waits() {
     let left = Duration::from_secs(5);
     assert_eq!(max_hold(left, None), Duration::from_millis(2500));
     assert_eq!(max_hold(left, Some(Duration::from_secs(2))), Duration::from_secs(1));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn where_held_requests_are_refused_others_are_not_held() {
+fn no_request_is_held_where_held_ones_are_refused() {
     let mut outcomes = HoldOutcomes::default();
     let service: Arc<str> = "service".into();
     assert!(outcomes.should_hold(at(60), &service, 0.99));
--- a/crates/core/tests/limits_and_retries.rs
+++ b/crates/core/tests/limits_and_retries.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_bucket_gives_its_rate_and_says_when_to_come_back() {
+fn a_bucket_gives_its_rate_and_the_time_to_retry() {
     let mut bucket = Bucket::new(at(0), 10.0);
     let taken = (0..100).filter(|step| bucket.take(at(step * 20)).is_ok()).count();
     assert!((29..=30).contains(&taken), "a burst of ten, then ten a second: {taken}");
@@ -32,11 +32,11 @@
     #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None, rng_seed: proptest::test_runner::RngSeed::Fixed(9), ..ProptestConfig::default() })]
 
     #[test]
-    fn valid_shares_never_exceed_the_rate(asks in proptest::collection::vec((0u64..8, 0.1f64..500.0, 0u64..3000), 1..100)) {
+    fn valid_shares_never_exceed_the_rate(demands in proptest::collection::vec((0u64..8, 0.1f64..500.0, 0u64..3000), 1..100)) {
         let mut issuer = ShareIssuer::default();
         let mut now = at(0);
         let mut granted: BTreeMap<u64, (f64, Instant)> = BTreeMap::new();
-        for (node, demand, pause) in asks {
+        for (node, demand, pause) in demands {
             now = now + Duration::from_millis(pause);
             let rate = issuer.grant(now, "row", 100.0, NodeId(node), demand);
             granted.insert(node, (rate, now + SHARE_VALIDITY));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_holder_without_its_home_falls_back_to_its_even_part() {
+fn a_holder_without_its_issuer_falls_back_to_its_even_part() {
     let mut holder = ShareHolder::default();
     holder.admit(at(0), "row", 100.0, 10).unwrap();
     holder.granted(at(0), at(0), "row", 45.0);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_node_within_its_even_part_asks_nobody() {
+fn a_node_within_its_even_part_sends_no_demand() {
     let mut holder = ShareHolder::default();
     for second in 0..20 {
         holder.admit(at(second * 1000), "row", 100.0, 10).unwrap();
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn nothing_is_asked_for_idle_rows() {
+fn idle_rows_send_no_demand() {
     let mut holder = ShareHolder::default();
     for _ in 0..200 {
         let _ = holder.admit(at(0), "row", 100.0, 1);
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn retries_are_paid_by_requests() {
+fn retries_stay_within_the_budget() {
     let mut budgets = RetryBudgets::default();
     let policy = RetryPolicy { attempts: 3, budget_percent: 10 };
     for _ in 0..1000 {
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_fence_refuses_a_holder_that_was_paused() {
+fn a_fence_rejects_an_older_epoch() {
     let mut fence = Fence::default();
     assert!(fence.admit(3));
     assert!(fence.admit(4));
@@ -174,19 +174,19 @@
 #[test]
 fn the_owner_of_the_prefix_is_chosen_unless_it_is_busy() {
     let mut random = SmallRng::seed_from_u64(1);
-    let room = |node, free, queued| OwnerRoom { node: NodeId(node), free, queued };
-    let own = Some(room(1, 8, 0));
-    let others = [room(2, 8, 0), room(3, 8, 0)];
+    let owner_room = |node, free, queued| OwnerRoom { node: NodeId(node), free, queued };
+    let own = Some(owner_room(1, 8, 0));
+    let others = [owner_room(2, 8, 0), owner_room(3, 8, 0)];
     assert_eq!(choose_owner(own, &others, None, &mut random), Some(NodeId(1)), "the own servers come first");
     let cached = Some((NodeId(3), 32));
     assert_eq!(choose_owner(own, &others, cached, &mut random), Some(NodeId(3)));
-    let busy = [room(2, 8, 0), room(3, 0, 40)];
+    let busy = [owner_room(2, 8, 0), owner_room(3, 0, 40)];
     assert_ne!(choose_owner(own, &busy, cached, &mut random), Some(NodeId(3)));
     assert_eq!(choose_owner(None, &[], None, &mut random), None);
 }
 
 #[test]
-fn the_longest_known_prefix_tells_the_owner() {
+fn the_longest_matching_prefix_determines_the_owner() {
     let mut affinity = Affinity::default();
     affinity.note(&[1, 2], NodeId(5));
     affinity.note(&[1, 2, 3, 4], NodeId(6));
@@ -195,9 +195,10 @@
 }
 
 #[test]
-fn pauses_double_up_to_the_longest() {
+fn backoff_doubles_up_to_its_maximum() {
     let (first, longest) = (Duration::from_millis(50), Duration::from_millis(800));
-    let pauses: Vec<u128> = (0..7).map(|failures| exponential_backoff(first, longest, failures).as_millis()).collect();
-    assert_eq!(pauses, [50, 100, 200, 400, 800, 800, 800]);
+    let backoffs: Vec<u128> =
+        (0..7).map(|failures| exponential_backoff(first, longest, failures).as_millis()).collect();
+    assert_eq!(backoffs, [50, 100, 200, 400, 800, 800, 800]);
     assert_eq!(exponential_backoff(first, longest, u32::MAX), longest);
 }
