--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -1,31 +1,31 @@
-//! Limits of rows across nodes: half of a row's rate is divided evenly among
-//! the nodes, and a home node leases out the other half by demand.
+//! Rate limits of rows across nodes: half of a row's rate is divided evenly among
+//! the nodes, and one node leases out the other half by demand.
 //!
-//! A node whose demand stays within its even part asks nobody, so that
-//! nothing is sent for idle rows and for most others. A node whose home is
-//! away keeps its lease for its validity, then has its even part alone.
+//! A node whose demand stays within its even part sends no request for a lease. A
+//! node that can't reach the issuer uses its lease until that expires, then only
+//! its even part.
 
 use crate::identity::NodeId;
 use crate::time::Instant;
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
-/// Validity of a share.
+/// Validity of a leased share.
 pub const SHARE_VALIDITY: Duration = Duration::from_secs(5);
-/// A node asks again this long before its share lapses.
+/// Time before the end of a lease at which a node requests the next one.
 pub const SHARE_RENEWAL_MARGIN: Duration = Duration::from_secs(1);
-/// Demand is measured over at least this many seconds, or over the shorter
-/// time where a request was refused.
+/// Least time over which demand is measured.
 const DEMAND_WINDOW_SECONDS: f64 = 4.0;
+/// The same after a refused request, and the least time between urgent demands.
 const REFUSAL_WINDOW_SECONDS: f64 = 0.2;
-/// A few requests are no demand that a home has to know of.
+/// Requests within the window below which no lease is requested, unless one was refused.
 const MIN_DEMAND_REQUESTS: u64 = 4;
 /// Part of a row's rate that is divided evenly.
 pub const EVEN_PART: f64 = 0.5;
-/// Requests may come in bursts of this many seconds of the rate.
+/// Capacity of a bucket, in seconds of its rate.
 const BURST_SECONDS: f64 = 1.0;
-/// A node takes bursts of up to this many requests, though not more than a
-/// second of the row's whole rate, however small its own part is.
+/// Least burst that a node admits, however small its part of the rate is; limited
+/// to [`BURST_SECONDS`] of the row's whole rate.
 const NODE_BURST_REQUESTS: f64 = 4.0;
 
 /// A token bucket.
@@ -38,12 +38,12 @@
 }
 
 impl Bucket {
-    /// A full bucket with a rate a second.
+    /// Creates a full bucket with a rate in tokens per second.
     pub fn new(now: Instant, rate: f64) -> Self {
         Self::with_burst(now, rate, 1.0)
     }
 
-    /// A full bucket that takes at least `burst` requests at once.
+    /// Creates a full bucket with a capacity of at least `burst` tokens.
     pub fn with_burst(now: Instant, rate: f64, burst: f64) -> Self {
         let mut bucket = Self { rate, burst, tokens: 0.0, at: now };
         bucket.tokens = bucket.capacity();
@@ -54,7 +54,7 @@
         (self.rate * BURST_SECONDS).max(self.burst).max(1.0)
     }
 
-    /// Changes the rate; what is saved up stays, up to the new capacity.
+    /// Changes the rate; saved tokens stay, up to the new capacity.
     pub fn set_rate(&mut self, now: Instant, rate: f64) {
         self.refill(now);
         self.rate = rate;
@@ -70,7 +70,7 @@
     /// Takes one token.
     ///
     /// # Errors
-    /// The time after which a token will be there.
+    /// The time until a token is available.
     pub fn take(&mut self, now: Instant) -> Result<(), Duration> {
         self.refill(now);
         if self.tokens >= 1.0 {
@@ -82,14 +82,14 @@
     }
 }
 
-/// The share of one row that a node holds.
+/// A node's share of the rate of one row.
 #[derive(Clone, Debug)]
 struct HeldShare {
     bucket: Bucket,
     demand: u64,
     demand_since: Instant,
     refused: bool,
-    /// When the home was last asked before a refusal.
+    /// When the last urgent demand was returned.
     urgent_demand_at: Option<Instant>,
     valid_until: Instant,
     even: f64,
@@ -106,27 +106,27 @@
     }
 }
 
-/// The limits as a node that serves requests sees them.
+/// The shares of a node that serves requests.
 #[derive(Debug, Default)]
 pub struct ShareHolder {
     shares: HashMap<String, HeldShare>,
 }
 
-/// A share to be asked for at the row's home.
+/// A demand to send to the row's issuer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ShareDemand {
     /// The row.
     pub row: String,
-    /// Requests a second that the node had.
+    /// Requests per second at the node.
     pub per_second: f64,
 }
 
 impl ShareHolder {
-    /// Takes one request of the row from the node's share of `row_rate`: its
-    /// even part among `nodes`, and what it has leased.
+    /// Takes one request from the node's share of `row_rate`: its even part among
+    /// `nodes`, and its lease. A rate of zero is no limit.
     ///
     /// # Errors
-    /// The time after which the row has room again.
+    /// The time after which to retry.
     pub fn admit(&mut self, now: Instant, row: &str, row_rate: f64, nodes: usize) -> Result<(), Duration> {
         if row_rate <= 0.0 {
             return Ok(());
@@ -157,8 +157,8 @@
         taken
     }
 
-    /// Shares that should be asked for now: those that refused a request, and
-    /// those with lasting demand above the even part. Idle rows are dropped.
+    /// Demands to send now: for rows that refused a request, and rows with demand
+    /// above the even part. Idle rows are dropped.
     pub fn demands(&mut self, now: Instant) -> Vec<ShareDemand> {
         self.shares.retain(|_, share| share.demand > 0 || now < share.valid_until);
         let mut demands = Vec::new();
@@ -179,8 +179,8 @@
         demands
     }
 
-    /// The share of a row that has just refused a request, unless its home
-    /// was asked a moment ago.
+    /// The demand for a row that has just refused a request, unless one was sent lately
+    /// or a lease is valid.
     pub fn urgent_demands(&mut self, now: Instant, row: &str) -> Vec<ShareDemand> {
         let Some(share) = self.shares.get_mut(row) else { return Vec::new() };
         let sent_lately = share.urgent_demand_at.is_some_and(|at| now.since(at).as_secs_f64() < REFUSAL_WINDOW_SECONDS);
@@ -192,8 +192,8 @@
         vec![ShareDemand { row: row.to_owned(), per_second: share.demand as f64 / seconds }]
     }
 
-    /// Takes the home's answer; `requested_at` is when the request was sent, since
-    /// a lease counts from before it was asked for.
+    /// Applies a lease of `rate` requests per second. It runs from `requested_at`,
+    /// when the demand was sent, so that it ends here before it ends at the issuer.
     pub fn granted(&mut self, now: Instant, requested_at: Instant, row: &str, rate: f64) {
         if let Some(share) = self.shares.get_mut(row) {
             share.leased = rate;
@@ -211,16 +211,15 @@
     until: Instant,
 }
 
-/// The limits as the home of rows sees them.
+/// The leases that a node has issued, by row.
 #[derive(Debug, Default)]
 pub struct ShareIssuer {
     issued: HashMap<String, BTreeMap<NodeId, IssuedShare>>,
 }
 
 impl ShareIssuer {
-    /// Grants a node's share of the part of the row's rate that is leased
-    /// out, in proportion to demand. The sum of grants that are still valid
-    /// never exceeds that part.
+    /// Grants a node a share of the leased part of the row's rate, in proportion to
+    /// demand. The sum of valid grants never exceeds that part.
     pub fn grant(&mut self, now: Instant, row: &str, row_rate: f64, node: NodeId, demand: f64) -> f64 {
         let rate = row_rate * (1.0 - EVEN_PART);
         let issued = self.issued.entry(row.to_owned()).or_default();
--- a/crates/core/src/tenants.rs
+++ b/crates/core/src/tenants.rs
@@ -1,32 +1,30 @@
-//! Tenants: who may ask, with which keys, how urgent their requests are and how
-//! many of them are let through.
+//! Tenants: their API keys, precedence and rate limits.
 //!
-//! Keys are kept as digests only, so that no table, log or dump shows one. A
-//! digest is looked up in a hash map: the time that it takes depends neither on
-//! the number of keys nor on how much of a wrong key is right.
+//! Keys are stored only as digests, so that no table, log or dump contains one. The
+//! time of a lookup by digest doesn't depend on how much of a wrong key matches.
 
 use crate::identity::stable_hash;
 use sha2::{Digest, Sha256};
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// A tenant as nodes name it to each other: a hash of its name.
+/// Identifies a tenant between nodes: a hash of its name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantKey(pub u64);
 
 impl TenantKey {
-    /// The key of a tenant's name.
+    /// The key of the tenant with this name.
     pub fn of(name: &str) -> Self {
         Self(stable_hash(name.as_bytes()))
     }
 }
 
-/// Requests that a tenant may make over all nodes: a token bucket.
+/// Rate limit of a tenant over all nodes: a token bucket.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct RateLimit {
-    /// Requests a second; zero is no limit.
+    /// Requests per second; zero is no limit.
     pub per_second: f64,
-    /// Requests beyond that at once.
+    /// Burst in requests.
     pub burst: f64,
 }
 
@@ -37,20 +35,20 @@
     }
 }
 
-/// One tenant.
+/// A tenant of the routing table.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Name, unique in the table; servers are told it.
+    /// Name, unique in the table; sent to servers.
     pub name: Arc<str>,
-    /// Its name among nodes.
+    /// Identifies it between nodes.
     pub key: TenantKey,
-    /// Precedence of its requests; zero goes first. It counts in place of a route's.
+    /// Precedence of its requests, in place of that of the route; zero goes first.
     pub precedence: Option<u32>,
-    /// Requests that it may make.
+    /// Rate limit of its requests.
     pub limit: RateLimit,
 }
 
-/// A caller's key as it is kept: its SHA-256 digest.
+/// SHA-256 digest of a caller's key.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KeyDigest([u8; 32]);
 
@@ -79,7 +77,7 @@
 }
 
 impl Tenants {
-    /// Tenants with their callers' keys.
+    /// Creates the set from tenants with their callers' keys.
     pub fn new(tenants: impl IntoIterator<Item = (Tenant, Vec<String>)>) -> Self {
         let mut result = Self::default();
         for (tenant, keys) in tenants {
@@ -91,7 +89,7 @@
         result
     }
 
-    /// Whether the table knows no tenants: callers need no key then.
+    /// Whether there are no tenants: callers need no key then.
     pub fn is_empty(&self) -> bool {
         self.by_key.is_empty()
     }
@@ -101,12 +99,12 @@
         self.by_key.len()
     }
 
-    /// The tenant that has a caller's key.
+    /// The tenant that a caller's key belongs to.
     pub fn of_caller(&self, key: &str) -> Option<&Arc<Tenant>> {
         self.by_digest.get(&KeyDigest::of(key))
     }
 
-    /// The tenant of that name among nodes.
+    /// The tenant with this key.
     pub fn get(&self, key: TenantKey) -> Option<&Arc<Tenant>> {
         self.by_key.get(&key)
     }
