--- a/crates/core/src/admission/claim.rs
+++ b/crates/core/src/admission/claim.rs
@@ -1,20 +1,20 @@
-//! What a request claims.
+//! Claims of requests on slots.
 
 use crate::dispatch::{Prompt, RouteKey};
 use crate::identity::NodeId;
 use crate::tenants::TenantKey;
 use crate::time::Instant;
 
-/// Prompt tokens that hold a slot about as long as one token of an answer: prompt tokens
-/// are read many at a time, those of an answer are made one by one.
+/// Prompt tokens that occupy a slot about as long as one output token: prefill handles many
+/// tokens at a time, decoding one.
 const PROMPT_TOKENS_PER_OUTPUT_TOKEN: u64 = 10;
 
-/// A claim among all nodes.
+/// Identifies a claim among all nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClaimId {
-    /// Node that the request is at.
+    /// Node that received the request.
     pub node: NodeId,
-    /// Number that the node gave it.
+    /// Number of the claim at that node.
     pub number: u64,
 }
 
@@ -23,30 +23,30 @@
 pub struct Claim {
     /// Its identity.
     pub id: ClaimId,
-    /// Order among claims; zero goes first.
+    /// Precedence; zero goes first.
     pub precedence: u32,
-    /// Version of the routing table that says so.
+    /// Version of the routing table that the precedence is from.
     pub table_version: u64,
-    /// Tenant that it is run for; callers without one share the default key.
+    /// Tenant of the request; callers without one share the default key.
     pub tenant: TenantKey,
-    /// Its route.
+    /// Route of the request.
     pub route: RouteKey,
     /// Work in prompt tokens ([`work_of`]).
     pub work: u64,
-    /// Until when it has to get a slot in order to be in time.
+    /// Latest time for a slot to meet the latency target.
     pub timely_until: Instant,
-    /// Until when it waits at most: its caller has to be told in time to ask again.
+    /// Time at which it is refused, early enough for its caller to retry.
     pub waits_until: Instant,
 }
 
 impl Claim {
-    /// Whether it can be in time with a slot that is free now.
+    /// Whether it meets its latency target if it gets a slot now.
     pub fn is_timely(&self, now: Instant) -> bool {
         now <= self.timely_until
     }
 }
 
-/// The work that a prompt makes, in prompt tokens; at least one.
+/// Work of a prompt and its output, in prompt tokens; at least one.
 pub fn work_of(prompt: &Prompt) -> u64 {
     let output = u64::from(prompt.output_tokens) * PROMPT_TOKENS_PER_OUTPUT_TOKEN;
     (u64::from(prompt.tokens()) + output).max(1)
--- a/crates/core/src/admission/drain.rs
+++ b/crates/core/src/admission/drain.rs
@@ -1,40 +1,38 @@
-//! How fast a queue drains, and when a refused caller finds room.
+//! Rate at which a queue drains, and retry times of refused callers.
 
 use crate::time::Instant;
 use std::time::Duration;
 
-/// Time with waiting claims over which slots are counted before the rate is renewed: long
-/// enough for some slots to come free, short against the seconds that callers stay.
+/// Time with waiting claims after which the rate is updated.
 const RATE_WINDOW: Duration = Duration::from_millis(200);
-/// Weight of a new window in the running mean: a change shows within five windows.
+/// Weight of a new window in the running mean where the rate falls.
 const FALL_WEIGHT: f64 = 0.2;
-/// The same where more slots come free than expected. Callers who are refused by a rate of
-/// a time without slots can't show that it is over.
+/// The same where the rate rises. It is higher, since callers that are refused because of an
+/// outdated low rate can't raise it.
 const RISE_WEIGHT: f64 = 0.5;
-/// A rate that was measured before a rest of this time tells nothing: servers may have come
-/// back meanwhile.
+/// Idle time after which the rate is reset, since servers may have recovered meanwhile.
 const MAX_IDLE: Duration = Duration::from_millis(500);
-/// A wait beyond this is told as this.
+/// Upper bound of an expected wait.
 const MAX_ESTIMATE: Duration = Duration::from_secs(3600);
-/// Told while no slot comes free, or none was counted yet: callers that came back at once
-/// would be refused again, and one that comes a second after an outage loses little.
+/// Retry time while no slot comes free or no rate is measured yet.
 const RETRY_AFTER_WITHOUT_RATE: Duration = Duration::from_secs(1);
-/// Bounds on the time that a refused caller is told to wait.
+/// Lower bound of a retry time.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
+/// Upper bound of a retry time.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// Slots that a queue is given in a second, measured while claims wait.
+/// Slots granted to a queue per second, measured while claims wait.
 #[derive(Debug)]
 pub(super) struct DrainRate {
     per_second: Option<f64>,
-    /// Time with waiting claims, and the slots that were given, since the last renewal.
+    /// Time with waiting claims since the last update of the rate.
     waited: Duration,
+    /// Slots granted since the last update of the rate.
     granted: u32,
-    /// When time passed last while claims waited.
+    /// Time of the last call of [`Self::tick`].
     ticked_at: Instant,
-    /// No claim waits.
     is_idle: bool,
-    /// Refused callers that will be back and for which room is counted.
+    /// Refused callers that are expected to retry before later ones.
     expected_retries: f64,
     retries_updated_at: Instant,
 }
@@ -54,7 +52,7 @@
 }
 
 impl DrainRate {
-    /// Time passes while claims wait, or the first one comes.
+    /// Counts the time since the last call as waiting time, unless the queue was idle.
     pub(super) fn tick(&mut self, now: Instant) {
         let passed = now.since(self.ticked_at);
         self.ticked_at = now;
@@ -78,18 +76,17 @@
         (self.waited, self.granted) = (Duration::ZERO, 0);
     }
 
-    /// A claim got a slot.
+    /// Records that a claim got a slot.
     pub(super) fn note_granted(&mut self) {
         self.granted += 1;
     }
 
-    /// No claim waits any more: the time until the next one tells nothing.
+    /// Records that no claim waits: the time until the next one isn't counted.
     pub(super) fn set_idle(&mut self) {
         self.is_idle = true;
     }
 
-    /// As [`Self::time_for`], where other claims do get slots: those of which none got one
-    /// wait for ever.
+    /// As [`Self::time_for`], but a measured rate of zero gives the longest wait instead of `None`.
     pub(super) fn time_with_competition(&self, claims: f64) -> Option<Duration> {
         if self.per_second == Some(0.0) {
             return Some(MAX_ESTIMATE);
@@ -97,14 +94,14 @@
         self.time_for(claims)
     }
 
-    /// Expected time until so many claims have a slot; `None` if it can't be told yet.
+    /// Expected time until this number of claims have a slot; `None` without a positive rate.
     pub(super) fn time_for(&self, claims: f64) -> Option<Duration> {
         let rate = self.per_second.filter(|rate| *rate > 0.0)?;
         Some(Duration::from_secs_f64((claims / rate).min(MAX_ESTIMATE.as_secs_f64())))
     }
 
-    /// When a caller that is refused now should come back, behind so many claims and those
-    /// that were told to come back before it.
+    /// Time after which a caller that is refused now should retry, behind `claims` waiting
+    /// claims and the callers that were refused before it.
     pub(super) fn schedule_retry(&mut self, now: Instant, claims: usize) -> Duration {
         let Some(rate) = self.per_second.filter(|rate| *rate > 0.0) else { return RETRY_AFTER_WITHOUT_RATE };
         self.expected_retries =
--- a/crates/core/src/admission/precedence_claims.rs
+++ b/crates/core/src/admission/precedence_claims.rs
@@ -1,4 +1,4 @@
-//! Claims of one precedence: shares among tenants.
+//! Claims of one precedence, and fair shares among their tenants.
 
 use super::claim::{Claim, ClaimId};
 use super::drain::DrainRate;
@@ -7,24 +7,23 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// Tenants without a waiting claim whose shares are remembered. Beyond it the ones that
-/// were given least are forgotten, which gains them next to nothing.
+/// Number of tenants without a waiting claim whose shares are stored. Beyond it the ones
+/// with the earliest virtual finish times are evicted, which gains them least.
 pub const TENANT_LIMIT: usize = 1024;
 
-/// The claims of one tenant, in the order of the time that they have left.
+/// The claims of one tenant, by deadline.
 #[derive(Debug, Default)]
 struct TenantClaims {
-    /// Virtual time at which what it was given is used up.
+    /// Virtual finish time of the work granted to the tenant.
     finish: u64,
     timely: BTreeMap<(Instant, ClaimId), Claim>,
-    /// Those that can't be in time any more.
+    /// Claims that can't be in time any more.
     late: BTreeMap<(Instant, ClaimId), Claim>,
-    /// Slots that it gets while its claims wait.
+    /// Rate of slots granted to the tenant.
     drain: DrainRate,
 }
 
-/// By what the first claims of tenants are compared: late claims last, then who was given
-/// least, then the time that is left.
+/// Sort key of tenants: whether the first claim is late, virtual start time, deadline, id.
 type ServingOrder = (bool, u64, Instant, ClaimId);
 
 impl TenantClaims {
@@ -41,7 +40,7 @@
         }
     }
 
-    /// Moves what can't be in time any more behind the rest.
+    /// Moves claims that can't be in time any more to the late ones.
     fn move_late(&mut self, now: Instant, newly_late: &mut Vec<Claim>) {
         while let Some(entry) = self.timely.first_entry().filter(|entry| !entry.get().is_timely(now)) {
             let claim = entry.remove();
@@ -73,11 +72,11 @@
     }
 }
 
-/// Tenants without claims that were given something not long ago.
+/// Tenants without claims whose granted work still counts against their share.
 #[derive(Debug, Default)]
 struct IdleTenants {
     finishes: HashMap<TenantKey, u64>,
-    /// The same in the order of what they were given.
+    /// The same by virtual finish time.
     order: BTreeSet<(u64, TenantKey)>,
 }
 
@@ -93,7 +92,7 @@
         Some(finish)
     }
 
-    /// One whose share is used up is as good as a new one.
+    /// Removes tenants whose finish time has passed, and the earliest ones above the limit.
     fn evict(&mut self, virtual_time: u64) {
         while let Some((finish, tenant)) = self.order.first().copied() {
             if finish > virtual_time && self.order.len() <= TENANT_LIMIT {
@@ -110,18 +109,18 @@
     /// Tenants with claims.
     tenants: HashMap<TenantKey, TenantClaims>,
     idle: IdleTenants,
-    /// Start of the turn that was granted last; rises with the work that is given.
+    /// Virtual start time of the claim granted last; never decreases.
     virtual_time: u64,
     waiting: usize,
-    /// Slots that claims get which can be in time, and those that can't: what is left by
-    /// all that go before them, however many are still to come.
+    /// Rate of slots granted to claims that can be in time.
     timely_drain: DrainRate,
+    /// Rate of slots granted to late claims.
     late_drain: DrainRate,
     has_timely: bool,
     has_late: bool,
-    /// Claims that waited in vain for a slot in time, since they were asked for.
+    /// Claims that became late since the last [`Self::take_newly_late`].
     newly_late: Vec<Claim>,
-    /// Slots that went to claims of a higher precedence in a row while one waited here.
+    /// Slots granted in a row to higher precedences while a claim of this one waited.
     pub(super) passed_over: u32,
 }
 
@@ -142,9 +141,9 @@
         self.has_late |= !claim.is_timely(now);
     }
 
-    /// The claims to try for one slot: the first one of each tenant in the order of their
-    /// turns, and further ones of the same tenants where these are few. The first may be
-    /// unable to use the server that has room.
+    /// Up to `limit` claims to try for one slot: the first one of each tenant in serving order,
+    /// then further claims of these tenants. Several, since a claim may be unable to use the
+    /// server with a free slot.
     pub(super) fn candidates(&mut self, now: Instant, limit: usize) -> Vec<Claim> {
         let virtual_time = self.virtual_time;
         let mut candidates: Vec<(ServingOrder, TenantKey)> = Vec::new();
@@ -165,7 +164,7 @@
         first.chain(further).take(limit).copied().collect()
     }
 
-    /// A claim gets a slot: its tenant is charged with its work.
+    /// Removes a claim that gets a slot, and charges its tenant with the work.
     pub(super) fn grant(&mut self, now: Instant, claim: &Claim) {
         if let Some(tenant) = self.tenants.get_mut(&claim.tenant) {
             tenant.drain.tick(now);
@@ -191,16 +190,17 @@
         Some(claim)
     }
 
-    /// Claims of this precedence that go before another one, which gets its slot in time or not:
-    /// its tenant's own, and as many of each other tenant.
+    /// Number of claims of this precedence served before a claim that gets its slot in time or
+    /// late: those of its tenant, and at most one more of each other tenant.
     pub(super) fn ahead_of(&self, claim: &Claim, in_time: bool) -> usize {
         let own = self.tenants.get(&claim.tenant).map_or(0, |tenant| tenant.ahead_of(claim, in_time));
         let others = self.tenants.iter().filter(|(key, _)| **key != claim.tenant);
         own + others.map(|(_, tenant)| tenant.competing(in_time).min(own + 1)).sum::<usize>()
     }
 
-    /// Expected wait of a claim by the slots that claims like it were given, and its tenant
-    /// where that wants its share or more; one that wants less gets what it wants.
+    /// Expected wait of a claim: the longer one by the rate of timely or late claims and by the
+    /// rate of its tenant. The latter counts only if the tenant has its fair share of the claims
+    /// or more, since tenants with less get slots as they need them.
     pub(super) fn expected_wait(&self, claim: &Claim, in_time: bool) -> Option<Duration> {
         let tenant = self.tenants.get(&claim.tenant).filter(|tenant| tenant.len() * self.tenants.len() >= self.waiting);
         let by_tenant = tenant.and_then(|tenant| tenant.expected_wait(claim, in_time));
@@ -217,7 +217,7 @@
         self.late_drain.time_with_competition((ahead + 1) as f64)
     }
 
-    /// Time passes while claims wait; it counts for those alone that do.
+    /// Counts waiting time for timely and for late claims, if there are any.
     pub(super) fn tick(&mut self, now: Instant) {
         for (drain, counts) in [(&mut self.timely_drain, self.has_timely), (&mut self.late_drain, self.has_late)] {
             drain.tick(now);
@@ -227,20 +227,19 @@
         }
     }
 
-    /// The claims that can't be in time any more since this was asked last. They go behind
-    /// others now, so that it has to be asked again whether they are reached.
+    /// Takes the claims that became late since the last call. They are served after others
+    /// now, so the caller has to check again whether they will get a slot.
     pub(super) fn take_newly_late(&mut self) -> Vec<Claim> {
         std::mem::take(&mut self.newly_late)
     }
 
-    /// Whether a claim waits that can still be in time; of each tenant the last one in the
-    /// order has most time left.
+    /// Whether any waiting claim can still be in time. Checks the latest deadline of each tenant.
     pub(super) fn has_timely(&self, now: Instant) -> bool {
         let mut last = self.tenants.values().filter_map(|tenant| tenant.timely.last_key_value());
         last.any(|(_, claim)| claim.is_timely(now))
     }
 
-    /// Tenants with waiting claims.
+    /// Number of tenants with waiting claims.
     pub(super) fn tenant_count(&self) -> usize {
         self.tenants.len()
     }
@@ -261,8 +260,7 @@
         self.tenants.values().flat_map(TenantClaims::claims)
     }
 
-    /// The claim that would be served last: of the tenant with most claims, the one with
-    /// most time left.
+    /// The claim to evict first: the one with the latest deadline of the tenant with most claims.
     pub(super) fn last(&self) -> Option<Claim> {
         let (_, largest) = self.tenants.iter().max_by_key(|(key, tenant)| (tenant.len(), **key))?;
         let last = largest.late.last_key_value().or_else(|| largest.timely.last_key_value())?;
@@ -271,7 +269,7 @@
 }
 
 impl TenantClaims {
-    /// Claims that go before another one of the same tenant.
+    /// Number of claims of the tenant that are served before this one.
     fn ahead_of(&self, claim: &Claim, in_time: bool) -> usize {
         if in_time {
             self.timely.range(..(claim.timely_until, claim.id)).count()
@@ -280,7 +278,7 @@
         }
     }
 
-    /// Expected wait behind the claims of the same tenant.
+    /// Expected wait by the rate of the tenant.
     fn expected_wait(&self, claim: &Claim, in_time: bool) -> Option<Duration> {
         self.drain.time_for((self.ahead_of(claim, in_time) + 1) as f64)
     }
@@ -289,7 +287,7 @@
         self.late.range(..(claim.waits_until, claim.id)).count()
     }
 
-    /// Claims that compete with one that gets its slot in time, or with one that doesn't.
+    /// Number of claims that compete with one that gets its slot in time, or late.
     fn competing(&self, in_time: bool) -> usize {
         if in_time {
             self.timely.len()
--- a/crates/core/src/admission/queue.rs
+++ b/crates/core/src/admission/queue.rs
@@ -1,4 +1,4 @@
-//! The queue of all claims on the servers of one service.
+//! Queue of the claims on the servers of one service.
 
 use super::claim::{Claim, ClaimId};
 use super::drain::DrainRate;
@@ -10,64 +10,61 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// Most claims that wait: at some hundred bytes each, and more than a keeper's servers can
-/// serve in the seconds that callers stay.
+/// Maximum number of waiting claims.
 pub const CLAIM_LIMIT: usize = 2048;
-/// Slots in a row that may go to claims of a higher precedence while a lower one waits. So a
-/// lower precedence gets a ninth at least: callers of it see a slow service rather than
-/// none, and the higher one loses a ninth at most.
+/// Maximum number of slots in a row granted to higher precedences while a lower one waits, so
+/// that no precedence starves.
 pub const PASSED_OVER_LIMIT: u32 = 8;
-/// Part of the time that a caller stays within which a claim has to be expected to be
-/// reached: others that go before it are still to come.
+/// Part of its remaining time within which a claim has to expect a slot; the rest is for
+/// claims that arrive later and are served first.
 const MAX_WAIT_PART: f64 = 0.8;
-/// Claims that are tried in one round where the first ones can't use the servers that have
-/// room, since they failed there.
+/// Maximum number of claims tried for a slot, since some may be unable to use the free server.
 const MAX_CANDIDATES: usize = 4;
 
-/// What became of a new claim.
+/// Result of adding a claim.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Entry {
-    /// It waits.
+    /// The claim waits.
     Queued(QueuePosition),
-    /// It won't get a slot while its caller stays.
+    /// The claim isn't expected to get a slot before its deadline, or the queue is full.
     Refused {
-        /// Time after which there is room.
+        /// Time after which the caller should retry.
         retry_after: Duration,
-        /// How it stood.
+        /// Position that the claim would have had.
         position: QueuePosition,
     },
 }
 
-/// How a claim stands in the queue.
+/// Position and expected wait of a claim in the queue.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct QueuePosition {
-    /// Claims that go before it, if no others come.
+    /// Number of claims served before it, if no others arrive.
     pub ahead: usize,
-    /// All claims that wait.
+    /// Number of all waiting claims.
     pub waiting: usize,
-    /// Those of its tenant and precedence.
+    /// Number of waiting claims of its tenant and precedence.
     pub tenant_waiting: usize,
-    /// Tenants that compete in its precedence, itself among them.
+    /// Number of tenants with claims of its precedence, including its own.
     pub tenants: usize,
-    /// Expected wait, if it can be told.
+    /// Expected wait; `None` if no rate is measured.
     pub wait: Option<Duration>,
 }
 
-/// A claim that got a place.
+/// A claim that got a slot.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Granted<T> {
     /// The claim.
     pub claim: Claim,
-    /// Its place.
+    /// The slot, as returned by the caller of [`ClaimQueue::grant`].
     pub place: T,
 }
 
-/// A claim that is given up.
+/// A claim that was removed without a slot.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Refused {
     /// The claim.
     pub claim: Claim,
-    /// Time after which there is room.
+    /// Time after which the caller should retry.
     pub retry_after: Duration,
 }
 
@@ -76,14 +73,14 @@
 pub struct ClaimQueue {
     by_precedence: BTreeMap<u32, PrecedenceClaims>,
     waiting: HashMap<ClaimId, Place>,
-    /// All claims in the order of the times until which they wait.
+    /// All claims by the time at which they expire.
     expiries: BTreeSet<(Instant, ClaimId)>,
     drain: DrainRate,
-    /// Version of the routing table by which the claims are ordered.
+    /// Version of the routing table applied last.
     table_version: u64,
 }
 
-/// Where a claim is found.
+/// Where a claim is stored.
 #[derive(Clone, Copy, Debug)]
 struct Place {
     precedence: u32,
@@ -97,22 +94,22 @@
         self.waiting.is_empty()
     }
 
-    /// Claims that wait.
+    /// Number of waiting claims.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether a claim waits that can still be in time.
+    /// Whether any waiting claim can still be in time.
     pub fn has_timely(&self, now: Instant) -> bool {
         self.by_precedence.values().any(|claims| claims.has_timely(now))
     }
 
-    /// Tenants of which something is remembered.
+    /// Number of tenants with stored state.
     pub fn remembered_tenants(&self) -> usize {
         self.by_precedence.values().map(PrecedenceClaims::remembered_tenants).sum()
     }
 
-    /// Nodes that have claims here, with the claims.
+    /// Numbers of the waiting claims, by node.
     pub fn by_node(&self) -> HashMap<NodeId, Vec<u64>> {
         let mut nodes: HashMap<NodeId, Vec<u64>> = HashMap::new();
         for id in self.waiting.keys() {
@@ -121,8 +118,8 @@
         nodes
     }
 
-    /// A request wants a slot. Where the queue is full, a claim of a lower precedence goes
-    /// for it, which is given back beside.
+    /// Adds a claim. If the queue is full, a claim of a lower precedence is evicted for it and
+    /// returned.
     pub fn add(&mut self, now: Instant, claim: Claim) -> (Entry, Option<Refused>) {
         self.withdraw(claim.id);
         self.tick(now);
@@ -162,7 +159,7 @@
         Refused { claim, retry_after: self.drain.schedule_retry(now, ahead) }
     }
 
-    /// How a claim stands, or would stand if it were added.
+    /// Position of a claim, whether or not it is in the queue.
     pub fn position(&self, now: Instant, claim: &Claim) -> QueuePosition {
         let of_precedence = self.by_precedence.get(&claim.precedence);
         let tenant_waiting = of_precedence.map_or(0, |claims| claims.waiting_of(claim.tenant));
@@ -184,8 +181,8 @@
         higher + same
     }
 
-    /// By the claims that go before it now, and by the slots that claims like it were left by
-    /// others: of a higher precedence, or in time where it isn't, that will come, too.
+    /// Expected wait of a claim: the longer one by the claims ahead of it now, and by the slots
+    /// that its precedence got lately, which accounts for claims that still arrive.
     fn time_for(&self, claim: &Claim, ahead: usize, in_time: bool) -> Option<Duration> {
         let by_queue = self.drain.time_for((ahead + 1) as f64 * self.slowdown_by_lower(claim.precedence));
         let by_queue = by_queue?;
@@ -194,13 +191,13 @@
         Some(by_class.map_or(by_queue, |by_class| by_class.max(by_queue)))
     }
 
-    /// By how much a precedence waits longer since lower ones get some slots.
+    /// Factor on the wait of a precedence for the slots that go to lower ones.
     fn slowdown_by_lower(&self, precedence: u32) -> f64 {
         let lower = self.by_precedence.range(precedence.saturating_add(1)..).count();
         1.0 + lower as f64 / f64::from(PASSED_OVER_LIMIT)
     }
 
-    /// Its caller is gone, or it has found a place elsewhere.
+    /// Removes a claim whose caller left or that got a slot elsewhere.
     pub fn withdraw(&mut self, id: ClaimId) -> Option<Claim> {
         let place = self.remove_place(id)?;
         let claims = self.by_precedence.get_mut(&place.precedence)?;
@@ -215,7 +212,7 @@
         Some(place)
     }
 
-    /// A node is not heard any more: its claims are dropped.
+    /// Removes the claims of a node that is unresponsive.
     pub fn withdraw_node(&mut self, node: NodeId) {
         let of_node: Vec<ClaimId> = self.waiting.keys().filter(|id| id.node == node).copied().collect();
         for id in of_node {
@@ -223,7 +220,7 @@
         }
     }
 
-    /// Shares count only while claims of a precedence wait.
+    /// Drops the shares of a precedence without claims.
     fn remove_if_empty(&mut self, precedence: u32) {
         if self.by_precedence.get(&precedence).is_some_and(|claims| claims.len() == 0) {
             self.by_precedence.remove(&precedence);
@@ -233,8 +230,8 @@
         }
     }
 
-    /// Gives places to claims, in their order, until there is none: `place` gives one to a
-    /// claim, or says that there is none for it.
+    /// Grants slots to claims in serving order until `place` returns `None` for all candidates;
+    /// `place` returns the slot for a claim, if there is one.
     pub fn grant<T>(&mut self, now: Instant, mut place: impl FnMut(&Claim) -> Option<T>) -> Vec<Granted<T>> {
         let mut granted = Vec::new();
         while !self.is_empty() {
@@ -248,7 +245,7 @@
         granted
     }
 
-    /// The claims whose turn it is, the first one first.
+    /// The claims to try for the next slot, in serving order.
     fn candidates(&mut self, now: Instant) -> Vec<Claim> {
         let overdue = self.by_precedence.iter().find(|(_, claims)| claims.passed_over >= PASSED_OVER_LIMIT);
         let first = overdue.map(|(precedence, _)| *precedence);
@@ -280,8 +277,8 @@
         self.remove_if_empty(claim.precedence);
     }
 
-    /// Claims that have waited for as long as they may, and those that lost their time to be
-    /// served in time and won't be reached behind others.
+    /// Removes claims past their deadline, and claims that became late and aren't expected to
+    /// get a slot before their deadline.
     pub fn expire(&mut self, now: Instant) -> Vec<Refused> {
         if self.is_empty() {
             return Vec::new();
@@ -306,22 +303,22 @@
         self.by_precedence.get(&place.precedence)?.claim(place.tenant, id)
     }
 
-    /// Claims take the precedence that they have by a newer table. Gives back how many
-    /// changed theirs.
+    /// Applies the precedences of a newer routing table. Returns the number of claims whose
+    /// precedence changed.
     pub fn follow_table(&mut self, now: Instant, table: &RoutingTable) -> usize {
         if self.table_version >= table.version {
             return 0;
         }
         self.table_version = table.version;
         self.set_precedences(now, |claim| {
-            // What a node read in a newer table holds.
+            // A claim from a table at least as new keeps its precedence.
             let is_older = claim.table_version < table.version;
             let newer = if is_older { table.precedence(claim.tenant, claim.route) } else { None };
             newer.unwrap_or(claim.precedence)
         })
     }
 
-    /// Each claim takes the precedence that it has now. Gives back how many changed theirs.
+    /// Sets the precedence of each claim. Returns the number of claims whose precedence changed.
     pub fn set_precedences(&mut self, now: Instant, precedence_of: impl Fn(&Claim) -> u32) -> usize {
         let claims = self.by_precedence.values().flat_map(PrecedenceClaims::claims);
         let changed: Vec<(Claim, u32)> = claims
@@ -336,7 +333,7 @@
     }
 }
 
-/// Whether a claim won't get a slot while its caller stays.
+/// Whether a claim isn't expected to get a slot early enough before its deadline.
 fn is_too_late(now: Instant, claim: &Claim, position: &QueuePosition) -> bool {
     let remaining = claim.waits_until.since(now);
     position.wait.is_some_and(|wait| wait > remaining.mul_f64(MAX_WAIT_PART))
