--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Who gets a slot first: precedence, shares of tenants, time that is left.
+//! Serving order of claims: precedence, fair shares of tenants and deadlines.
 
 use latchwheel_core::admission::{
     work_of, Claim, ClaimId, ClaimQueue, Entry, CLAIM_LIMIT, PASSED_OVER_LIMIT, TENANT_LIMIT,
@@ -17,7 +17,7 @@
     Instant::from_micros((60_000 + milliseconds) * 1000)
 }
 
-/// A claim of that number that came at zero, can be in time for 180 ms and waits 2.5 s.
+/// A claim made at time zero that can be in time for 180 ms and expires after 2.5 s.
 fn claim(number: u64, precedence: u32, tenant: u64) -> Claim {
     Claim {
         id: ClaimId { node: NODE, number },
@@ -40,7 +40,7 @@
     queue
 }
 
-/// The next claims to get slots, of which there are so many.
+/// Numbers of the claims that get the given number of slots, in order.
 fn granted(queue: &mut ClaimQueue, now: Instant, slots: usize) -> Vec<u64> {
     let mut left = slots;
     let place = |_: &Claim| {
@@ -76,14 +76,14 @@
     let mut queue = queue(at(0), small.chain(large));
     let order = granted(&mut queue, at(1), 40);
     let of_large = order.iter().filter(|number| **number >= 50).count();
-    assert_eq!(of_large, 8, "four times the work, a quarter of the requests: {order:?}");
+    assert_eq!(of_large, 8, "four times the work gets a quarter of the requests: {order:?}");
 }
 
 #[test]
 fn spare_slots_are_used_and_not_charged_for() {
     let mut queue = queue(at(0), (0..50).map(|number| claim(number, 0, 1)));
     assert_eq!(granted(&mut queue, at(1), 40).len(), 40);
-    // Another tenant comes: from now on both get the same, no matter what was used before.
+    // With a second tenant both get the same share, whatever was used before.
     (100..120).for_each(|number| assert!(queue.add(at(2), claim(number, 0, 2)).1.is_none()));
     let order = granted(&mut queue, at(3), 10);
     assert_eq!(order.iter().filter(|number| **number >= 100).count(), 5, "{order:?}");
@@ -109,7 +109,7 @@
         queue.add(at(1), heavy);
         of_first += granted(&mut queue, at(1), 1).iter().filter(|number| **number < 100).count();
     }
-    assert!((12..=14).contains(&of_first), "a quarter of the requests is half of the work: {of_first} of 50");
+    assert!((12..=14).contains(&of_first), "a quarter of the requests is half of the work, got {of_first} of 50");
 }
 
 #[test]
@@ -130,29 +130,29 @@
 #[test]
 fn a_claim_that_will_not_get_a_slot_is_refused_at_once_with_a_retry_time() {
     let mut queue = queue(at(0), (0..600).map(|number| claim(number, 0, 1)));
-    // 100 slots come free in a second.
+    // 100 slots per second come free.
     for step in 1..=200 {
         granted(&mut queue, at(step * 10), 1);
     }
     assert_eq!(queue.len(), 400);
     let late = Claim { waits_until: at(4500), ..claim(1000, 0, 1) };
     let (entry, _) = queue.add(at(2000), Claim { timely_until: at(2180), ..late });
-    assert!(matches!(entry, Entry::Queued(_)), "it can be in time and goes before the others: {entry:?}");
+    assert!(matches!(entry, Entry::Queued(_)), "it can be in time and is served before the late claims: {entry:?}");
     let (entry, _) = queue.add(at(2000), Claim { id: ClaimId { node: NODE, number: 1001 }, ..late });
     let Entry::Refused { retry_after, position } = entry else { panic!("{entry:?}") };
     assert_eq!(position.ahead, 401);
     assert!((3800..=4300).contains(&(retry_after.as_millis() as u64)), "{retry_after:?}");
-    // Whoever is refused next finds room a slot later.
+    // The next refused caller has to retry one slot later.
     let (entry, _) = queue.add(at(2000), Claim { id: ClaimId { node: NODE, number: 1002 }, ..late });
     assert!(matches!(entry, Entry::Refused { retry_after: next, .. } if next > retry_after), "{entry:?}");
-    // One of another tenant is reached.
+    // A claim of another tenant is accepted.
     let other = Claim { tenant: TenantKey(2), ..late };
     assert!(matches!(queue.add(at(2000), other).0, Entry::Queued(position) if position.ahead <= 2));
 }
 
 #[test]
 fn a_rate_from_before_an_idle_time_is_not_used() {
-    // Servers were away: one slot came free in a second.
+    // One slot per second comes free during an outage of servers.
     let mut queue = queue(at(0), (0..4).map(|number| claim(number, 0, 1)));
     for step in 1..=4 {
         granted(&mut queue, at(step * 1000), 1);
@@ -197,7 +197,7 @@
 #[test]
 fn thousands_of_tenants_need_bounded_state() {
     let mut queue = ClaimQueue::default();
-    // One claim always waits, so that shares are never forgotten altogether.
+    // One claim always waits, so that the shares of the precedence are never dropped.
     queue.add(at(0), Claim { work: 1 << 40, ..claim(1, 0, 0) });
     granted(&mut queue, at(0), 1);
     for tenant in 1..6_000 {
@@ -253,7 +253,7 @@
     }
 }
 
-/// A table in which the route of the claims has this precedence.
+/// A table with this precedence for the route of the claims.
 fn table(version: u64, precedence: u32) -> RoutingTable {
     let route = Route { precedence, ..route() };
     RoutingTable::new(version, ClientLimits::default(), HashMap::new(), Tenants::default(), [route])
@@ -265,7 +265,7 @@
     let mut queue = queue(at(0), [from_table(1, 1), from_table(3, 2)]);
     assert_eq!(queue.follow_table(at(1), &table(2, 0)), 1);
     assert_eq!(granted(&mut queue, at(2), 2), [1, 2]);
-    // A queue that begins anew knows no more than the table.
+    // The same version isn't applied twice.
     assert_eq!(queue.follow_table(at(3), &table(2, 0)), 0);
 }
 
@@ -276,12 +276,12 @@
     assert_eq!(work_of(&Prompt::default()), 1);
 }
 
-/// Milliseconds for which no slot comes free, and for which slots come free afterwards.
+/// Time without free slots, in milliseconds.
 const OUTAGE_MS: u64 = 10_000;
+/// Time with free slots after the outage, in milliseconds.
 const RECOVERY_MS: u64 = 4_000;
 
-/// A queue that saw no slot for long is not to send callers away once there are slots for all
-/// of them: how fast it drains is measured again from the few that it takes.
+/// Guards against refusing callers by the drain rate of an outage once there are slots for all.
 #[test]
 fn after_an_outage_callers_are_accepted_again() {
     let mut queue = ClaimQueue::default();
@@ -307,8 +307,7 @@
     assert_eq!(refused_at_the_end, 0);
 }
 
-/// Callers that are refused while no slot comes free are not counted as those that will be
-/// back before others once some do.
+/// Guards against counting callers that were refused during an outage as expected retries.
 #[test]
 fn refusals_of_an_outage_do_not_delay_later_callers() {
     const BURST: u64 = 600;
@@ -319,8 +318,8 @@
         queue.add(at(millisecond), claim_from(millisecond, millisecond));
         queue.expire(at(millisecond));
     }
-    // A slot in each two milliseconds: the burst is served in 1.2 s, and nobody who is
-    // refused is told more than twice that.
+    // One slot in two milliseconds serves the burst in 1.2 s; no retry time may be longer than
+    // twice that.
     let mut retry_times = Vec::new();
     for millisecond in OUTAGE_MS..OUTAGE_MS + RECOVERY_MS {
         let now = at(millisecond);
@@ -340,7 +339,7 @@
     assert!(longest <= Duration::from_millis(2 * 2 * BURST), "{longest:?}");
 }
 
-/// A service whose requests all find free slots measures nothing meanwhile.
+/// Guards against measuring a rate of zero while no claim waits.
 #[test]
 fn an_idle_queue_measures_no_rate() {
     let mut queue = ClaimQueue::default();
@@ -354,7 +353,7 @@
     }
 }
 
-/// Batch work waits behind claims that can be in time, and not behind those that are late.
+/// Batch work yields to claims that can be in time, but not to late ones.
 #[test]
 fn has_timely_reports_whether_a_claim_can_still_be_in_time() {
     let mut queue = queue(at(0), [claim(1, 0, 1), Claim { timely_until: at(90), ..claim(2, 0, 2) }]);
--- a/crates/core/tests/admission_load.rs
+++ b/crates/core/tests/admission_load.rs
@@ -1,4 +1,4 @@
-//! What callers get where tenants and precedences compete for too few slots.
+//! Simulates tenants and precedences that compete for too few slots.
 
 use latchwheel_core::admission::{Claim, ClaimId, ClaimQueue, Entry, PASSED_OVER_LIMIT};
 use latchwheel_core::dispatch::RouteKey;
@@ -20,7 +20,7 @@
     Instant::from_micros((60_000 + milliseconds) * 1000)
 }
 
-/// A tenant's requests: so many a second at all times.
+/// A tenant that sends requests at a constant mean rate.
 #[derive(Clone, Copy)]
 struct Source {
     tenant: u64,
@@ -34,7 +34,7 @@
     in_time: usize,
     served: usize,
     queued: usize,
-    /// Those that were refused when they had waited for as long as they stay.
+    /// Requests refused at the end of their caller's timeout.
     expired: usize,
 }
 
@@ -48,10 +48,10 @@
     }
 }
 
-/// Who gets a slot that comes free.
+/// Order in which waiting requests get free slots.
 #[derive(Clone, Copy, PartialEq)]
 enum Order {
-    /// Whoever happens to ask first, as where each request asks again by itself.
+    /// Random, as if each request polled for a slot by itself.
     Random,
     Queue,
 }
@@ -152,7 +152,7 @@
     }
 }
 
-/// What the tenants chosen got with all seeds.
+/// Results of the chosen tenants, summed over all seeds.
 fn sum(order: Order, sources: &[Source], chosen: impl Fn(u64) -> bool) -> Served {
     let mut sum = Served::default();
     for seed in 0..3 {
@@ -168,25 +168,25 @@
     sum
 }
 
-/// Shares in time and served at all.
+/// Shares of requests served in time, and served at all.
 fn shares(order: Order, sources: &[Source], chosen: impl Fn(u64) -> bool) -> (f64, f64) {
     let sum = sum(order, sources, chosen);
     (sum.in_time(), sum.served_share())
 }
 
-/// Slots a second.
+/// Slots that come free per second.
 fn slots_per_second() -> f64 {
     SLOTS as f64 / SERVICE_TIME.as_secs_f64()
 }
 
-/// Part of all requests that can be served where they want so many times the room: slots
-/// are free at first besides.
+/// Part of all requests that can be served at `load` times the capacity, including the slots
+/// that are free at the start.
 fn servable(load: f64) -> f64 {
     let seconds = SIMULATED_MS as f64 / 1000.0;
     (slots_per_second() * seconds + SLOTS as f64) / (slots_per_second() * seconds * load)
 }
 
-/// 86 modest tenants that together want 0.9 of the slots, and one that sends as much again.
+/// 86 small tenants that use 0.9 of the slots together, and one that sends as much alone.
 fn flood() -> Vec<Source> {
     let capacity = slots_per_second();
     let modest = (1..=86).map(|tenant| Source { tenant, precedence: 0, per_second: capacity * 0.9 / 86.0 });
@@ -198,10 +198,12 @@
     let (before, _) = shares(Order::Random, &flood(), |tenant| tenant > 0);
     let (after, _) = shares(Order::Queue, &flood(), |tenant| tenant > 0);
     let (_, flooding) = shares(Order::Queue, &flood(), |tenant| tenant == 0);
-    println!("modest tenants in time: {before:.3} by chance, {after:.3} by the queue; flooding served {flooding:.3}");
-    assert!(before < servable(1.8), "by chance all get the same: {before}");
+    println!(
+        "modest tenants in time: {before:.3} in random order, {after:.3} by the queue; flooding served {flooding:.3}"
+    );
+    assert!(before < servable(1.8), "random order gives all the same share: {before}");
     assert!(after > 0.98, "{after}");
-    assert!(flooding > 0.1 / 0.9, "it uses what nobody else wants: {flooding}");
+    assert!(flooding > 0.1 / 0.9, "it gets the slots that the others leave: {flooding}");
 }
 
 #[test]
@@ -212,17 +214,16 @@
     let (urgent, _) = shares(Order::Queue, &sources, |tenant| tenant == 1);
     let (_, lower) = shares(Order::Queue, &sources, |tenant| tenant == 2);
     let (before, _) = shares(Order::Random, &sources, |tenant| tenant == 1);
-    println!("urgent in time: {before:.3} by chance, {urgent:.3} by the queue; lower served {lower:.3}");
+    println!("urgent in time: {before:.3} in random order, {urgent:.3} by the queue; lower served {lower:.3}");
     assert!(urgent > 0.98 && before < servable(1.5), "{urgent} {before}");
-    assert!(lower > 0.2 / 0.7, "it uses what the higher one leaves: {lower}");
-    // Also where the higher precedence alone is more than there is room for.
+    assert!(lower > 0.2 / 0.7, "it gets the slots that the higher one leaves: {lower}");
+    // The same with a higher precedence that exceeds the capacity alone.
     let (_, starved) = shares(Order::Queue, &[source(1, 0, 1.5), source(2, 1, 0.3)], |tenant| tenant == 2);
     let one_in = f64::from(PASSED_OVER_LIMIT + 1);
     assert!(starved > 1.0 / one_in / 0.3 * MIN_SERVED_SHARE, "{starved}");
 }
 
-/// Of those that are told to wait, so many get a slot while they stay: what others will
-/// send can't be foreseen, so not all of them.
+/// Least share of queued requests that get a slot; not all, since later arrivals may go first.
 const MIN_SERVED_SHARE: f64 = 0.95;
 
 #[test]
@@ -234,7 +235,10 @@
         for precedence in 0..2 {
             let of_precedence = |tenant| sources.iter().any(|one| (one.tenant, one.precedence) == (tenant, precedence));
             let Served { queued, expired, .. } = sum(Order::Queue, &sources, of_precedence);
-            println!("precedence {precedence} of {} tenants: {expired} of {queued} waited in vain", sources.len());
+            println!(
+                "precedence {precedence} of {} tenants: {expired} of {queued} queued claims expired",
+                sources.len()
+            );
             assert!(expired as f64 <= queued as f64 * (1.0 - MIN_SERVED_SHARE), "{expired} of {queued}");
         }
     }
@@ -267,7 +271,7 @@
                     table_version: 1,
                     route: RouteKey::of("route"),
                     work: 650,
-                    // Callers that come back have no time left to be in time.
+                    // Callers that retry have no time left to be in time.
                     timely_until: now,
                     waits_until: now + CALLER_TIMEOUT,
                 };
--- a/crates/core/tests/admission_schedules.rs
+++ b/crates/core/tests/admission_schedules.rs
@@ -1,7 +1,7 @@
-//! Seeded schedules of claims at keepers: callers and nodes that leave, tables that change,
-//! messages that are lost, and a keeper that dies halfway.
+//! Seeded schedules of claims at trackers with callers and nodes that leave, tables that change,
+//! lost messages and a tracker that fails.
 //!
-//! A failing seed is printed; `LATCHWHEEL_SEEDS=N..N+1` plays it again.
+//! Each seed is printed before its run; `LATCHWHEEL_SEEDS=N..N+1` runs one again.
 
 use latchwheel_core::admission::{Claim, ClaimId, ClaimQueue, Entry};
 use latchwheel_core::dispatch::RouteKey;
@@ -18,7 +18,7 @@
 const NODES: u64 = 12;
 const SIMULATED_MS: u64 = 4000;
 const STEP_MS: u64 = 5;
-/// After so long without a word a node asks another keeper.
+/// Time without an answer after which a node sends its claim to another tracker.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(350);
 const CALLER_TIMEOUT: Duration = Duration::from_millis(1500);
 const LOSS: f64 = 0.02;
@@ -27,7 +27,7 @@
     Instant::from_micros((60_000 + milliseconds) * 1000)
 }
 
-/// A request at a node, as the node knows it.
+/// A waiting request at its node.
 struct Waiting {
     claim: Claim,
     tracker: usize,
@@ -40,7 +40,7 @@
     waiting: HashMap<ClaimId, Waiting>,
     ended: HashSet<ClaimId>,
     numbers: u64,
-    /// Precedence of each tenant by the present table.
+    /// Precedence of each tenant in the current table.
     precedences: [u32; 4],
     failed: Option<usize>,
 }
@@ -73,10 +73,10 @@
             (0..TRACKERS).filter(|tracker| Some(*tracker) != failed).for_each(|tracker| self.serve(now, tracker));
             self.retry_unanswered(now);
         }
-        assert!(self.waiting.is_empty(), "{} requests wait for ever", self.waiting.len());
+        assert!(self.waiting.is_empty(), "{} requests never end", self.waiting.len());
         let alive = (0..TRACKERS).filter(|tracker| Some(*tracker) != self.failed);
         let left: usize = alive.map(|tracker| self.trackers[tracker].len()).sum();
-        assert_eq!(left, 0, "claims of nobody stay");
+        assert_eq!(left, 0, "claims without a request stay in a queue");
     }
 
     fn arrive(&mut self, now: Instant) {
@@ -95,7 +95,7 @@
         self.send_claim(now, claim);
     }
 
-    /// A node leaves its claim at a keeper, if the message arrives.
+    /// Sends a claim to a random tracker; the message may be lost.
     fn send_claim(&mut self, now: Instant, claim: Claim) {
         let tracker = self.random.random_range(0..TRACKERS);
         self.waiting.insert(claim.id, Waiting { claim, tracker, contact_at: now });
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Callers leave, nodes fall silent, tables change.
+    /// Makes callers leave, nodes unresponsive and tables change, at random.
     fn inject_faults(&mut self, now: Instant) {
         if self.random.random_bool(0.05) {
             let gone = self.waiting.keys().min().copied();
@@ -148,7 +148,7 @@
         let granted = self.trackers[tracker].grant(now, place);
         let mut seen = HashSet::new();
         for granted in granted {
-            assert!(seen.insert(granted.claim.id), "granted twice by one keeper");
+            assert!(seen.insert(granted.claim.id), "granted twice by one tracker");
             self.end_unless_lost(granted.claim.id, tracker);
         }
         for (node, numbers) in self.trackers[tracker].by_node() {
@@ -160,7 +160,7 @@
         }
     }
 
-    /// The keeper's word is lost now and then: then the node asks again.
+    /// Ends a request, unless the tracker's answer is lost.
     fn end_unless_lost(&mut self, id: ClaimId, tracker: usize) {
         let waits_there = self.waiting.get(&id).is_some_and(|waiting| waiting.tracker == tracker);
         if waits_there && !self.random.random_bool(LOSS) {
--- a/crates/core/tests/holding.rs
+++ b/crates/core/tests/holding.rs
@@ -25,10 +25,10 @@
     assert!(outcomes.should_hold(at(60), &service, 0.99));
     (0..20).for_each(|_| outcomes.note(at(60), &service, false));
     assert!(!outcomes.should_hold(at(61), &service, 0.99));
-    assert!(outcomes.should_hold(at(61), &service, 0.05), "a few find out whether it is over");
+    assert!(outcomes.should_hold(at(61), &service, 0.05), "a few are held as probes");
     assert!(outcomes.should_hold(at(61), "other", 0.99));
     (0..20).for_each(|_| outcomes.note(at(62), &service, true));
     assert!(outcomes.should_hold(at(62), &service, 0.99));
     (0..20).for_each(|_| outcomes.note(at(63), &service, false));
-    assert!(outcomes.should_hold(at(69), &service, 0.99), "old outcomes prove nothing");
+    assert!(outcomes.should_hold(at(69), &service, 0.99), "old outcomes are not used");
 }
--- a/crates/core/tests/limits_and_retries.rs
+++ b/crates/core/tests/limits_and_retries.rs
@@ -1,4 +1,4 @@
-//! Limits across nodes, retry budgets, fences, ownership, routing.
+//! Rate limits across nodes, retry budgets, fences, ownership and routing.
 
 use latchwheel_core::identity::{NodeId, ServerId};
 use latchwheel_core::limits::{Bucket, ShareHolder, ShareIssuer, SHARE_VALIDITY};
@@ -23,7 +23,7 @@
 fn a_bucket_gives_its_rate_and_the_time_to_retry() {
     let mut bucket = Bucket::new(at(0), 10.0);
     let taken = (0..100).filter(|step| bucket.take(at(step * 20)).is_ok()).count();
-    assert!((29..=30).contains(&taken), "a burst of ten, then ten a second: {taken}");
+    assert!((29..=30).contains(&taken), "a burst of ten, then ten per second: {taken}");
     let wait = bucket.take(at(1980)).unwrap_err();
     assert!(wait <= Duration::from_millis(100));
 }
@@ -86,9 +86,9 @@
         (0..1000).filter(|step| holder.admit(at(from + step), "row", 100.0, 10).is_ok()).count()
     };
     let with_lease = taken(&mut holder, 1000);
-    assert!((48..=101).contains(&with_lease), "five and 45 a second, and a burst: {with_lease}");
+    assert!((48..=101).contains(&with_lease), "50 per second and a burst: {with_lease}");
     let after_lapse = taken(&mut holder, 20_000);
-    assert!(after_lapse <= 12, "five a second, and a burst of five: {after_lapse}");
+    assert!(after_lapse <= 12, "five per second and a burst: {after_lapse}");
 }
 
 #[test]
@@ -126,7 +126,7 @@
 fn a_lapsed_lease_gives_no_epoch() {
     let lease = OrderLease::new(3, at(0), Duration::from_secs(5));
     assert_eq!(lease.epoch_at(at(4499)), Some(3));
-    assert_eq!(lease.epoch_at(at(4500)), None, "the margin is kept");
+    assert_eq!(lease.epoch_at(at(4500)), None, "the lease ends early by the safety margin");
 }
 
 #[test]
@@ -134,7 +134,7 @@
     let mut fence = Fence::default();
     assert!(fence.admit(3));
     assert!(fence.admit(4));
-    assert!(!fence.admit(3), "the order was checked before the pause and arrives after it");
+    assert!(!fence.admit(3), "an order with an older epoch is refused");
     assert!(fence.admit(4));
 }
 
@@ -177,7 +177,7 @@
     let owner_room = |node, free, queued| OwnerRoom { node: NodeId(node), free, queued };
     let own = Some(owner_room(1, 8, 0));
     let others = [owner_room(2, 8, 0), owner_room(3, 8, 0)];
-    assert_eq!(choose_owner(own, &others, None, &mut random), Some(NodeId(1)), "the own servers come first");
+    assert_eq!(choose_owner(own, &others, None, &mut random), Some(NodeId(1)), "the local owner is preferred");
     let cached = Some((NodeId(3), 32));
     assert_eq!(choose_owner(own, &others, cached, &mut random), Some(NodeId(3)));
     let busy = [owner_room(2, 8, 0), owner_room(3, 0, 40)];
