--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -19,4 +19,4 @@
 
 pub use claim::{work_of, Claim, ClaimId};
 pub use precedence_claims::TENANT_LIMIT;
-pub use queue::{ClaimQueue, Entry, Granted, QueuePosition, Refused, CLAIM_LIMIT, PASSED_OVER_LIMIT};
+pub use queue::{Admission, ClaimQueue, Granted, QueuePosition, Refused, CLAIM_LIMIT, PASSED_OVER_LIMIT};
--- a/crates/core/src/admission/precedence_claims.rs
+++ b/crates/core/src/admission/precedence_claims.rs
@@ -252,7 +252,7 @@
         self.tenants.get(&tenant)?.claim(id)
     }
 
-    pub(super) fn remembered_tenants(&self) -> usize {
+    pub(super) fn stored_tenants(&self) -> usize {
         self.tenants.len() + self.idle.order.len()
     }
 
--- a/crates/core/src/admission/queue.rs
+++ b/crates/core/src/admission/queue.rs
@@ -23,7 +23,7 @@
 
 /// Result of adding a claim.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Entry {
+pub enum Admission {
     /// The claim waits.
     Queued(QueuePosition),
     /// The claim isn't expected to get a slot before its deadline, or the queue is full.
@@ -105,8 +105,8 @@
     }
 
     /// Number of tenants with stored state.
-    pub fn remembered_tenants(&self) -> usize {
-        self.by_precedence.values().map(PrecedenceClaims::remembered_tenants).sum()
+    pub fn stored_tenants(&self) -> usize {
+        self.by_precedence.values().map(PrecedenceClaims::stored_tenants).sum()
     }
 
     /// Numbers of the waiting claims, by node.
@@ -120,7 +120,7 @@
 
     /// Adds a claim. If the queue is full, a claim of a lower precedence is evicted for it and
     /// returned.
-    pub fn add(&mut self, now: Instant, claim: Claim) -> (Entry, Option<Refused>) {
+    pub fn add(&mut self, now: Instant, claim: Claim) -> (Admission, Option<Refused>) {
         self.withdraw(claim.id);
         self.tick(now);
         let position = self.position(now, &claim);
@@ -128,11 +128,11 @@
         let evicted = if self.len() >= CLAIM_LIMIT { self.evictable(&claim) } else { None };
         if too_late || (self.len() >= CLAIM_LIMIT && evicted.is_none()) {
             let retry_after = self.drain.schedule_retry(now, position.ahead);
-            return (Entry::Refused { retry_after, position }, None);
+            return (Admission::Refused { retry_after, position }, None);
         }
         let refused = evicted.map(|last| self.refuse(now, last));
         self.insert(now, claim);
-        (Entry::Queued(position), refused)
+        (Admission::Queued(position), refused)
     }
 
     fn tick(&mut self, now: Instant) {
@@ -305,7 +305,7 @@
 
     /// Applies the precedences of a newer routing table. Returns the number of claims whose
     /// precedence changed.
-    pub fn follow_table(&mut self, now: Instant, table: &RoutingTable) -> usize {
+    pub fn apply_table(&mut self, now: Instant, table: &RoutingTable) -> usize {
         if self.table_version >= table.version {
             return 0;
         }
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/limits.rs
@@ -194,7 +194,7 @@
 
     /// Applies a lease of `rate` requests per second. It runs from `requested_at`,
     /// when the demand was sent, so that it ends here before it ends at the issuer.
-    pub fn granted(&mut self, now: Instant, requested_at: Instant, row: &str, rate: f64) {
+    pub fn apply_grant(&mut self, now: Instant, requested_at: Instant, row: &str, rate: f64) {
         if let Some(share) = self.shares.get_mut(row) {
             share.leased = rate;
             share.valid_until = requested_at + SHARE_VALIDITY;
--- a/crates/core/tests/admission.rs
+++ b/crates/core/tests/admission.rs
@@ -1,7 +1,7 @@
 //! Serving order of claims: precedence, fair shares of tenants and deadlines.
 
 use latchwheel_core::admission::{
-    work_of, Claim, ClaimId, ClaimQueue, Entry, CLAIM_LIMIT, PASSED_OVER_LIMIT, TENANT_LIMIT,
+    work_of, Admission, Claim, ClaimId, ClaimQueue, CLAIM_LIMIT, PASSED_OVER_LIMIT, TENANT_LIMIT,
 };
 use latchwheel_core::dispatch::{Prompt, PromptPart, RouteKey};
 use latchwheel_core::identity::NodeId;
@@ -35,7 +35,7 @@
     let mut queue = ClaimQueue::default();
     for claim in claims {
         let (entry, refused) = queue.add(now, claim);
-        assert!(matches!(entry, Entry::Queued(_)) && refused.is_none(), "{entry:?} {refused:?}");
+        assert!(matches!(entry, Admission::Queued(_)) && refused.is_none(), "{entry:?} {refused:?}");
     }
     queue
 }
@@ -137,17 +137,17 @@
     assert_eq!(queue.len(), 400);
     let late = Claim { waits_until: at(4500), ..claim(1000, 0, 1) };
     let (entry, _) = queue.add(at(2000), Claim { timely_until: at(2180), ..late });
-    assert!(matches!(entry, Entry::Queued(_)), "it can be in time and is served before the late claims: {entry:?}");
+    assert!(matches!(entry, Admission::Queued(_)), "it can be in time and is served before the late claims: {entry:?}");
     let (entry, _) = queue.add(at(2000), Claim { id: ClaimId { node: NODE, number: 1001 }, ..late });
-    let Entry::Refused { retry_after, position } = entry else { panic!("{entry:?}") };
+    let Admission::Refused { retry_after, position } = entry else { panic!("{entry:?}") };
     assert_eq!(position.ahead, 401);
     assert!((3800..=4300).contains(&(retry_after.as_millis() as u64)), "{retry_after:?}");
     // The next refused caller has to retry one slot later.
     let (entry, _) = queue.add(at(2000), Claim { id: ClaimId { node: NODE, number: 1002 }, ..late });
-    assert!(matches!(entry, Entry::Refused { retry_after: next, .. } if next > retry_after), "{entry:?}");
+    assert!(matches!(entry, Admission::Refused { retry_after: next, .. } if next > retry_after), "{entry:?}");
     // A claim of another tenant is accepted.
     let other = Claim { tenant: TenantKey(2), ..late };
-    assert!(matches!(queue.add(at(2000), other).0, Entry::Queued(position) if position.ahead <= 2));
+    assert!(matches!(queue.add(at(2000), other).0, Admission::Queued(position) if position.ahead <= 2));
 }
 
 #[test]
@@ -161,7 +161,7 @@
     for number in 10..30 {
         let fresh = Claim { timely_until: at(6180), waits_until: at(8500), ..claim(number, 0, 1) };
         let (entry, _) = queue.add(at(6000), fresh);
-        assert!(matches!(entry, Entry::Queued(_)), "{entry:?}");
+        assert!(matches!(entry, Admission::Queued(_)), "{entry:?}");
     }
 }
 
@@ -180,17 +180,17 @@
     let mut queue = queue(at(0), [claim(1, 0, 1), elsewhere(1), elsewhere(2)]);
     queue.withdraw_node(NodeId(8));
     assert_eq!(granted(&mut queue, at(1), 3), [1]);
-    assert!(queue.is_empty() && queue.remembered_tenants() == 0);
+    assert!(queue.is_empty() && queue.stored_tenants() == 0);
 }
 
 #[test]
 fn a_full_queue_evicts_only_the_last_claim_of_a_lower_precedence() {
     let mut queue = queue(at(0), (0..CLAIM_LIMIT as u64).map(|number| claim(number, 1, 1)));
     let (entry, refused) = queue.add(at(0), claim(9000, 0, 2));
-    assert!(matches!(entry, Entry::Queued(_)), "{entry:?}");
+    assert!(matches!(entry, Admission::Queued(_)), "{entry:?}");
     assert_eq!(refused.map(|refused| refused.claim.id.number), Some(CLAIM_LIMIT as u64 - 1));
     let (entry, refused) = queue.add(at(0), claim(9001, 1, 2));
-    assert!(matches!(entry, Entry::Refused { .. }) && refused.is_none(), "{entry:?}");
+    assert!(matches!(entry, Admission::Refused { .. }) && refused.is_none(), "{entry:?}");
     assert_eq!(queue.len(), CLAIM_LIMIT);
 }
 
@@ -205,7 +205,7 @@
         queue.add(at(0), claim(tenant * 2 + 1, 0, tenant + 1));
         granted(&mut queue, at(0), 1);
         queue.withdraw(ClaimId { node: NODE, number: tenant * 2 - 1 });
-        assert!(queue.remembered_tenants() <= TENANT_LIMIT + queue.len() + 1, "{}", queue.remembered_tenants());
+        assert!(queue.stored_tenants() <= TENANT_LIMIT + queue.len() + 1, "{}", queue.stored_tenants());
     }
 }
 
@@ -263,10 +263,10 @@
 fn a_claim_from_a_newer_table_keeps_its_precedence() {
     let from_table = |table_version, number| Claim { table_version, ..claim(number, 1, 1) };
     let mut queue = queue(at(0), [from_table(1, 1), from_table(3, 2)]);
-    assert_eq!(queue.follow_table(at(1), &table(2, 0)), 1);
+    assert_eq!(queue.apply_table(at(1), &table(2, 0)), 1);
     assert_eq!(granted(&mut queue, at(2), 2), [1, 2]);
     // The same version isn't applied twice.
-    assert_eq!(queue.follow_table(at(3), &table(2, 0)), 0);
+    assert_eq!(queue.apply_table(at(3), &table(2, 0)), 0);
 }
 
 #[test]
@@ -295,7 +295,7 @@
                 waits_until: at(millisecond + 2500),
                 ..claim(number, 0, 1)
             };
-            let refused = matches!(queue.add(now, claim).0, Entry::Refused { .. });
+            let refused = matches!(queue.add(now, claim).0, Admission::Refused { .. });
             let at_the_end = millisecond >= OUTAGE_MS + RECOVERY_MS / 2;
             refused_at_the_end += u32::from(refused && at_the_end);
         }
@@ -327,7 +327,7 @@
         let count = if millisecond == burst_at { BURST } else { u64::from(millisecond % 4 == 0) };
         for number in 0..count {
             let entry = queue.add(now, claim_from(millisecond * BURST + number, millisecond)).0;
-            if let Entry::Refused { retry_after, .. } = entry {
+            if let Admission::Refused { retry_after, .. } = entry {
                 retry_times.push((now, retry_after));
             }
         }
@@ -349,7 +349,7 @@
     let now = at(OUTAGE_MS);
     for number in 0..20 {
         let claim = Claim { timely_until: now, waits_until: at(OUTAGE_MS + 2500), ..claim(number, 0, 1) };
-        assert!(matches!(queue.add(now, claim).0, Entry::Queued(_)), "claim {number}");
+        assert!(matches!(queue.add(now, claim).0, Admission::Queued(_)), "claim {number}");
     }
 }
 
--- a/crates/core/tests/admission_load.rs
+++ b/crates/core/tests/admission_load.rs
@@ -1,6 +1,6 @@
 //! Simulates tenants and precedences that compete for too few slots.
 
-use latchwheel_core::admission::{Claim, ClaimId, ClaimQueue, Entry, PASSED_OVER_LIMIT};
+use latchwheel_core::admission::{Admission, Claim, ClaimId, ClaimQueue, PASSED_OVER_LIMIT};
 use latchwheel_core::dispatch::RouteKey;
 use latchwheel_core::identity::NodeId;
 use latchwheel_core::tenants::TenantKey;
@@ -114,7 +114,7 @@
             Order::Queue => {
                 let (entry, evicted) = self.queue.add(now, claim);
                 assert_eq!(evicted, None);
-                let queued = matches!(entry, Entry::Queued(_));
+                let queued = matches!(entry, Admission::Queued(_));
                 self.served.entry(source.tenant).or_default().queued += usize::from(queued);
             }
         }
@@ -275,7 +275,7 @@
                     timely_until: now,
                     waits_until: now + CALLER_TIMEOUT,
                 };
-                queued += usize::from(matches!(queue.add(now, claim).0, Entry::Queued(_)));
+                queued += usize::from(matches!(queue.add(now, claim).0, Admission::Queued(_)));
             }
         }
         slot_ends.retain(|end| *end > now);
--- a/crates/core/tests/admission_schedules.rs
+++ b/crates/core/tests/admission_schedules.rs
@@ -3,7 +3,7 @@
 //!
 //! Each seed is printed before its run; `LATCHWHEEL_SEEDS=N..N+1` runs one again.
 
-use latchwheel_core::admission::{Claim, ClaimId, ClaimQueue, Entry};
+use latchwheel_core::admission::{Admission, Claim, ClaimId, ClaimQueue};
 use latchwheel_core::dispatch::RouteKey;
 use latchwheel_core::identity::NodeId;
 use latchwheel_core::tenants::TenantKey;
@@ -104,7 +104,7 @@
         }
         let (entry, evicted) = self.trackers[tracker].add(now, claim);
         assert!(evicted.is_none());
-        if let Entry::Refused { retry_after, .. } = entry {
+        if let Admission::Refused { retry_after, .. } = entry {
             assert!(retry_after > Duration::ZERO);
             self.end(claim.id);
         }
--- a/crates/core/tests/limits_and_retries.rs
+++ b/crates/core/tests/limits_and_retries.rs
@@ -81,7 +81,7 @@
 fn a_holder_without_its_issuer_falls_back_to_its_even_part() {
     let mut holder = ShareHolder::default();
     holder.admit(at(0), "row", 100.0, 10).unwrap();
-    holder.granted(at(0), at(0), "row", 45.0);
+    holder.apply_grant(at(0), at(0), "row", 45.0);
     let taken = |holder: &mut ShareHolder, from: u64| {
         (0..1000).filter(|step| holder.admit(at(from + step), "row", 100.0, 10).is_ok()).count()
     };
--- a/crates/node/src/limits.rs
+++ b/crates/node/src/limits.rs
@@ -135,7 +135,7 @@
         };
         let mut holder = self.holder.lock().unwrap_or_else(PoisonError::into_inner);
         for share in answer.shares {
-            holder.granted(self.clock.now(), asked_at, &share.row, share.per_second);
+            holder.apply_grant(self.clock.now(), asked_at, &share.row, share.per_second);
         }
     }
 }
--- a/crates/proxy/src/keeper_claims.rs
+++ b/crates/proxy/src/keeper_claims.rs
@@ -9,7 +9,7 @@
 use crate::handoff::Handoff;
 use crate::placements::{reserve_server, RoomOrder};
 use crate::shared::Shared;
-use latchwheel_core::admission::{Claim, ClaimId, ClaimQueue, Entry, Granted, QueuePosition, Refused};
+use latchwheel_core::admission::{Admission, Claim, ClaimId, ClaimQueue, Granted, QueuePosition, Refused};
 use latchwheel_core::dispatch::{RouteKey, REPORT_TTL};
 use latchwheel_core::identity::NodeId;
 use latchwheel_core::routes::RoutingTable;
@@ -162,11 +162,11 @@
         let mut answers: Vec<ClaimAnswer> =
             displaced.into_iter().filter_map(|displaced| service.refuse(now, displaced)).collect();
         match entry {
-            Entry::Refused { retry_after, position } => {
+            Admission::Refused { retry_after, position } => {
                 let advice = crowded_out(claim.id.number, retry_after, &position);
                 answers.push(ClaimAnswer { node: from, address, advice, order: None });
             }
-            Entry::Queued(position) => {
+            Admission::Queued(position) => {
                 service.asked.insert(claim.id, Asked { request, address });
                 answers.extend(service.grant(shared, now));
                 if service.asked.contains_key(&claim.id) {
@@ -259,7 +259,7 @@
 impl State {
     /// A newer table is in force: claims take the precedence that they have by it.
     fn follow_table(&mut self, now: Instant, table: &RoutingTable) {
-        let changed: usize = self.services.values_mut().map(|service| service.queue.follow_table(now, table)).sum();
+        let changed: usize = self.services.values_mut().map(|service| service.queue.apply_table(now, table)).sum();
         if changed > 0 {
             emit("", &Event::ClaimsReordered { version: table.version, claims: changed });
         }
@@ -279,7 +279,7 @@
         let waiting: usize = self.services.values().map(|service| service.queue.len()).sum();
         if waiting > 0 && now.since(self.told_at) >= TELL_EVERY {
             self.told_at = now;
-            let tenants = self.services.values().map(|service| service.queue.remembered_tenants()).sum();
+            let tenants = self.services.values().map(|service| service.queue.stored_tenants()).sum();
             emit("", &Event::ClaimsWait { claims: waiting, tenants, nodes: self.heard.len() });
         }
     }
--- a/crates/proxy/src/own_claims.rs
+++ b/crates/proxy/src/own_claims.rs
@@ -4,7 +4,7 @@
 use crate::claims::{ClaimStanding, ClaimTerms};
 use crate::dialect::Dialect;
 use crate::shared::Shared;
-use latchwheel_core::admission::{Claim, ClaimId, ClaimQueue, Entry, Refused};
+use latchwheel_core::admission::{Admission, Claim, ClaimId, ClaimQueue, Refused};
 use latchwheel_core::dispatch::{Choice, Placement, PlacementQuery, Prompt};
 use latchwheel_core::identity::NodeId;
 use latchwheel_core::time::Instant;
@@ -93,8 +93,10 @@
         let (id, entry) = self.enter(now, ask.service, waiting, terms);
         let _entered = Entered { claims: self, service: ask.service, id };
         let position = match entry {
-            Entry::Refused { retry_after, position } => return (Some(Choice::Full(retry_after)), (&position).into()),
-            Entry::Queued(position) => ClaimStanding::from(&position),
+            Admission::Refused { retry_after, position } => {
+                return (Some(Choice::Full(retry_after)), (&position).into())
+            }
+            Admission::Queued(position) => ClaimStanding::from(&position),
         };
         let until = now + KEEPERS_AGAIN_AFTER;
         while shared.clock.now() < until {
@@ -107,7 +109,7 @@
         (None, position)
     }
 
-    fn enter(&self, now: Instant, service: &Arc<str>, waiting: Waiting, terms: &ClaimTerms) -> (ClaimId, Entry) {
+    fn enter(&self, now: Instant, service: &Arc<str>, waiting: Waiting, terms: &ClaimTerms) -> (ClaimId, Admission) {
         let mut state = self.lock();
         state.last_number += 1;
         let id = ClaimId { node: NodeId::default(), number: state.last_number };
@@ -123,7 +125,7 @@
         };
         let service = state.services.entry(service.clone()).or_default();
         let (entry, displaced) = service.queue.add(now, claim);
-        if matches!(entry, Entry::Queued(_)) {
+        if matches!(entry, Admission::Queued(_)) {
             service.waiting.insert(id, waiting);
         }
         service.refuse(displaced);
@@ -139,7 +141,7 @@
             return;
         }
         claims.granted_at = now;
-        claims.queue.follow_table(now, &shared.table());
+        claims.queue.apply_table(now, &shared.table());
         let expired = claims.queue.expire(now);
         claims.refuse(expired);
         let waiting = &claims.waiting;
