--- a/crates/core/src/admission/precedence_claims.rs
+++ b/crates/core/src/admission/precedence_claims.rs
@@ -1,4 +1,4 @@
-//! Claims of one precedence: shares among tenants.
+//! Claims of one precedence, and fair shares among their tenants.
 
 use super::claim::{Claim, ClaimId};
 use super::drain::DrainRate;
@@ -7,25 +7,24 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::time::Duration;
 
-/// Tenants without a waiting claim whose shares are remembered. Beyond it the ones that
-/// were given least are forgotten, which gains them next to nothing.
+/// Number of tenants without a waiting claim whose shares are stored. Beyond it the ones
+/// with the earliest virtual finish times are evicted, which gains them least.
 pub const TENANT_LIMIT: usize = 1024;
 
-/// The claims of one tenant, in the order of the time that they have left.
+/// The claims of one tenant, by deadline.
 #[derive(Debug, Default)]
 struct TenantClaims {
-    /// Virtual time at which what it was given is used up.
+    /// Virtual finish time of the work granted to the tenant.
     finish: u64,
     timely: BTreeMap<(Instant, ClaimId), Claim>,
-    /// Those that can't be in time any more.
+    /// Claims that can't be in time any more.
     late: BTreeMap<(Instant, ClaimId), Claim>,
-    /// Slots that it gets while its claims wait.
+    /// Rate of slots granted to the tenant.
     drain: DrainRate,
 }
 
-/// By what the first claims of tenants are compared: late claims last, then who was given
-/// least, then the time that is left.
-type TurnOrder = (bool, u64, Instant, ClaimId);
+/// Sort key of tenants: whether the first claim is late, virtual start time, deadline, id.
+type ServingOrder = (bool, u64, Instant, ClaimId);
 
 impl TenantClaims {
     fn len(&self) -> usize {
@@ -41,16 +40,16 @@
         }
     }
 
-    /// Moves what can't be in time any more behind the rest.
-    fn settle(&mut self, now: Instant, turned_late: &mut Vec<Claim>) {
+    /// Moves claims that can't be in time any more to the late ones.
+    fn move_late(&mut self, now: Instant, newly_late: &mut Vec<Claim>) {
         while let Some(entry) = self.timely.first_entry().filter(|entry| !entry.get().is_timely(now)) {
             let claim = entry.remove();
             self.late.insert((claim.waits_until, claim.id), claim);
-            turned_late.push(claim);
+            newly_late.push(claim);
         }
     }
 
-    fn turn(&self, virtual_time: u64) -> Option<TurnOrder> {
+    fn serving_order(&self, virtual_time: u64) -> Option<ServingOrder> {
         let start = self.finish.max(virtual_time);
         let timely = self.timely.first_key_value().map(|((until, id), _)| (false, start, *until, *id));
         timely.or_else(|| self.late.first_key_value().map(|((until, id), _)| (true, start, *until, *id)))
@@ -73,11 +72,11 @@
     }
 }
 
-/// Tenants without claims that were given something not long ago.
+/// Tenants without claims whose granted work still counts against their share.
 #[derive(Debug, Default)]
 struct IdleTenants {
     finishes: HashMap<TenantKey, u64>,
-    /// The same in the order of what they were given.
+    /// The same by virtual finish time.
     order: BTreeSet<(u64, TenantKey)>,
 }
 
@@ -93,8 +92,8 @@
         Some(finish)
     }
 
-    /// One whose share is used up is as good as a new one.
-    fn forget(&mut self, virtual_time: u64) {
+    /// Removes tenants whose finish time has passed, and the earliest ones above the limit.
+    fn evict(&mut self, virtual_time: u64) {
         while let Some((finish, tenant)) = self.order.first().copied() {
             if finish > virtual_time && self.order.len() <= TENANT_LIMIT {
                 return;
@@ -110,18 +109,18 @@
     /// Tenants with claims.
     tenants: HashMap<TenantKey, TenantClaims>,
     idle: IdleTenants,
-    /// Start of the turn that was granted last; rises with the work that is given.
+    /// Virtual start time of the claim granted last; never decreases.
     virtual_time: u64,
     waiting: usize,
-    /// Slots that claims get which can be in time, and those that can't: what is left by
-    /// all that go before them, however many are still to come.
+    /// Rate of slots granted to claims that can be in time.
     timely_drain: DrainRate,
+    /// Rate of slots granted to late claims.
     late_drain: DrainRate,
     has_timely: bool,
     has_late: bool,
-    /// Claims that waited in vain for a slot in time, since they were asked for.
-    turned_late: Vec<Claim>,
-    /// Slots that went to claims of a higher precedence in a row while one waited here.
+    /// Claims that became late since the last [`Self::take_newly_late`].
+    newly_late: Vec<Claim>,
+    /// Slots granted in a row to higher precedences while a claim of this one waited.
     pub(super) passed_over: u32,
 }
 
@@ -142,30 +141,30 @@
         self.has_late |= !claim.is_timely(now);
     }
 
-    /// The claims to try for one slot: the first one of each tenant in the order of their
-    /// turns, and further ones of the same tenants where these are few. The first may be
-    /// unable to use the server that has room.
-    pub(super) fn turns(&mut self, now: Instant, most: usize) -> Vec<Claim> {
+    /// Up to `limit` claims to try for one slot: the first one of each tenant in serving order,
+    /// then further claims of these tenants. Several, since a claim may be unable to use the
+    /// server with a free slot.
+    pub(super) fn candidates(&mut self, now: Instant, limit: usize) -> Vec<Claim> {
         let virtual_time = self.virtual_time;
-        let mut turns: Vec<(TurnOrder, TenantKey)> = Vec::new();
+        let mut candidates: Vec<(ServingOrder, TenantKey)> = Vec::new();
         for (key, tenant) in &mut self.tenants {
-            tenant.settle(now, &mut self.turned_late);
-            turns.extend(tenant.turn(virtual_time).map(|turn| (turn, *key)));
+            tenant.move_late(now, &mut self.newly_late);
+            candidates.extend(tenant.serving_order(virtual_time).map(|serving_order| (serving_order, *key)));
         }
         self.has_timely = self.tenants.values().any(|tenant| !tenant.timely.is_empty());
         self.has_late = self.tenants.values().any(|tenant| !tenant.late.is_empty());
-        if turns.len() > most {
-            turns.select_nth_unstable(most);
-            turns.truncate(most);
+        if candidates.len() > limit {
+            candidates.select_nth_unstable(limit);
+            candidates.truncate(limit);
         }
-        turns.sort_unstable();
-        let tenants = turns.iter().filter_map(|(_, key)| self.tenants.get(key));
+        candidates.sort_unstable();
+        let tenants = candidates.iter().filter_map(|(_, key)| self.tenants.get(key));
         let first = tenants.clone().filter_map(|tenant| tenant.claims().next());
         let further = tenants.flat_map(|tenant| tenant.claims().skip(1));
-        first.chain(further).take(most).copied().collect()
+        first.chain(further).take(limit).copied().collect()
     }
 
-    /// A claim gets a slot: its tenant is charged with its work.
+    /// Removes a claim that gets a slot, and charges its tenant with the work.
     pub(super) fn grant(&mut self, now: Instant, claim: &Claim) {
         if let Some(tenant) = self.tenants.get_mut(&claim.tenant) {
             tenant.drain.tick(now);
@@ -187,27 +186,28 @@
             self.idle.insert(tenant, claims.finish);
             self.tenants.remove(&tenant);
         }
-        self.idle.forget(self.virtual_time);
+        self.idle.evict(self.virtual_time);
         Some(claim)
     }
 
-    /// Claims of this precedence that go before another one, which gets its slot in time or not:
-    /// its tenant's own, and as many of each other tenant.
+    /// Number of claims of this precedence served before a claim that gets its slot in time or
+    /// late: those of its tenant, and at most one more of each other tenant.
     pub(super) fn ahead_of(&self, claim: &Claim, in_time: bool) -> usize {
         let own = self.tenants.get(&claim.tenant).map_or(0, |tenant| tenant.ahead_of(claim, in_time));
         let others = self.tenants.iter().filter(|(key, _)| **key != claim.tenant);
         own + others.map(|(_, tenant)| tenant.competing(in_time).min(own + 1)).sum::<usize>()
     }
 
-    /// Expected wait of a claim by the slots that claims like it were given, and its tenant
-    /// where that wants its share or more; one that wants less gets what it wants.
-    pub(super) fn wait_of(&self, claim: &Claim, in_time: bool) -> Option<Duration> {
+    /// Expected wait of a claim: the longer one by the rate of timely or late claims and by the
+    /// rate of its tenant. The latter counts only if the tenant has its fair share of the claims
+    /// or more, since tenants with less get slots as they need them.
+    pub(super) fn expected_wait(&self, claim: &Claim, in_time: bool) -> Option<Duration> {
         let tenant = self.tenants.get(&claim.tenant).filter(|tenant| tenant.len() * self.tenants.len() >= self.waiting);
-        let by_tenant = tenant.and_then(|tenant| tenant.wait_of(claim, in_time));
-        by_tenant.max(self.wait_of_like(claim, in_time))
+        let by_tenant = tenant.and_then(|tenant| tenant.expected_wait(claim, in_time));
+        by_tenant.max(self.wait_by_timeliness(claim, in_time))
     }
 
-    fn wait_of_like(&self, claim: &Claim, in_time: bool) -> Option<Duration> {
+    fn wait_by_timeliness(&self, claim: &Claim, in_time: bool) -> Option<Duration> {
         if in_time {
             return self.timely_drain.time_with_competition((self.ahead_of(claim, true) + 1) as f64);
         }
@@ -217,30 +217,29 @@
         self.late_drain.time_with_competition((ahead + 1) as f64)
     }
 
-    /// Time passes while claims wait; it counts for those alone that do.
+    /// Counts waiting time for timely and for late claims, if there are any.
     pub(super) fn tick(&mut self, now: Instant) {
         for (drain, counts) in [(&mut self.timely_drain, self.has_timely), (&mut self.late_drain, self.has_late)] {
             drain.tick(now);
             if !counts {
-                drain.rest();
+                drain.set_idle();
             }
         }
     }
 
-    /// The claims that can't be in time any more since this was asked last. They go behind
-    /// others now, so that it has to be asked again whether they are reached.
+    /// Takes the claims that became late since the last call. They are served after others
+    /// now, so the caller has to check again whether they will get a slot.
     pub(super) fn take_newly_late(&mut self) -> Vec<Claim> {
-        std::mem::take(&mut self.turned_late)
+        std::mem::take(&mut self.newly_late)
     }
 
-    /// Whether a claim waits that can still be in time; of each tenant the last one in the
-    /// order has most time left.
+    /// Whether any waiting claim can still be in time. Checks the latest deadline of each tenant.
     pub(super) fn has_timely(&self, now: Instant) -> bool {
         let mut last = self.tenants.values().filter_map(|tenant| tenant.timely.last_key_value());
         last.any(|(_, claim)| claim.is_timely(now))
     }
 
-    /// Tenants with waiting claims.
+    /// Number of tenants with waiting claims.
     pub(super) fn tenant_count(&self) -> usize {
         self.tenants.len()
     }
@@ -253,7 +252,7 @@
         self.tenants.get(&tenant)?.claim(id)
     }
 
-    pub(super) fn remembered_tenants(&self) -> usize {
+    pub(super) fn stored_tenants(&self) -> usize {
         self.tenants.len() + self.idle.order.len()
     }
 
@@ -261,8 +260,7 @@
         self.tenants.values().flat_map(TenantClaims::claims)
     }
 
-    /// The claim that would be served last: of the tenant with most claims, the one with
-    /// most time left.
+    /// The claim to evict first: the one with the latest deadline of the tenant with most claims.
     pub(super) fn last(&self) -> Option<Claim> {
         let (_, largest) = self.tenants.iter().max_by_key(|(key, tenant)| (tenant.len(), **key))?;
         let last = largest.late.last_key_value().or_else(|| largest.timely.last_key_value())?;
@@ -271,7 +269,7 @@
 }
 
 impl TenantClaims {
-    /// Claims that go before another one of the same tenant.
+    /// Number of claims of the tenant that are served before this one.
     fn ahead_of(&self, claim: &Claim, in_time: bool) -> usize {
         if in_time {
             self.timely.range(..(claim.timely_until, claim.id)).count()
@@ -280,8 +278,8 @@
         }
     }
 
-    /// Expected wait behind the claims of the same tenant.
-    fn wait_of(&self, claim: &Claim, in_time: bool) -> Option<Duration> {
+    /// Expected wait by the rate of the tenant.
+    fn expected_wait(&self, claim: &Claim, in_time: bool) -> Option<Duration> {
         self.drain.time_for((self.ahead_of(claim, in_time) + 1) as f64)
     }
 
@@ -289,7 +287,7 @@
         self.late.range(..(claim.waits_until, claim.id)).count()
     }
 
-    /// Claims that compete with one that gets its slot in time, or with one that doesn't.
+    /// Number of claims that compete with one that gets its slot in time, or late.
     fn competing(&self, in_time: bool) -> usize {
         if in_time {
             self.timely.len()
