--- a/crates/core/src/byte_budget.rs
+++ b/crates/core/src/byte_budget.rs
@@ -10,19 +10,19 @@
 pub struct ByteBudget {
     bytes_per_second: f64,
     left: f64,
-    reckoned_at: Instant,
+    updated_at: Instant,
 }
 
 impl ByteBudget {
     /// A budget that is full at `now`.
     pub fn new(bytes_per_second: f64, now: Instant) -> Self {
-        Self { bytes_per_second, left: bytes_per_second, reckoned_at: now }
+        Self { bytes_per_second, left: bytes_per_second, updated_at: now }
     }
 
     /// Whether something may be sent now.
     pub fn allows(&mut self, now: Instant) -> bool {
-        let gained = now.since(self.reckoned_at).as_secs_f64() * self.bytes_per_second;
-        self.reckoned_at = now;
+        let gained = now.since(self.updated_at).as_secs_f64() * self.bytes_per_second;
+        self.updated_at = now;
         self.left = (self.left + gained).min(self.bytes_per_second);
         self.left >= 0.0
     }
--- a/crates/core/src/circuit_breaker.rs
+++ b/crates/core/src/circuit_breaker.rs
@@ -8,7 +8,7 @@
 //!
 //! Invariant: while nobody is known to have an answer, all nodes together probe
 //! about as often as [`ProbePolicy::calls_per_second`] allows, but each node at
-//! least once in [`MAX_SHARED_PAUSE`], so that none depends on another.
+//! least once in [`MAX_SHARED_PROBE_INTERVAL`], so that none depends on another.
 
 use crate::retry::exponential_backoff;
 use crate::time::Instant;
@@ -19,21 +19,21 @@
 pub const FAILURE_TIME: Duration = Duration::from_millis(200);
 /// Failures in a row that open it at least: the answer to a single call may be
 /// lost while the store is there.
-const LEAST_FAILURES: u32 = 2;
+const MIN_FAILURES: u32 = 2;
 /// Time between two probes of a node that others rely on, and the shortest one
 /// of any other.
-const LEAST_PAUSE: Duration = Duration::from_millis(250);
+const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(250);
 /// Longest time between two probes of a node that is turned away while others
 /// have answers: it must be back in touch well within the bounds on
 /// configuration (2 s and more).
-const LONGEST_OWN_PAUSE: Duration = Duration::from_millis(1600);
+const MAX_OWN_PROBE_INTERVAL: Duration = Duration::from_millis(1600);
 /// Longest time between two probes of a node that hears of no answer: with
 /// [`SPREAD`] it is back in touch within four seconds of the store's return,
 /// also where no upstream is left to tell of it. The strictest bound on news is
 /// three seconds of contact and two for the change itself.
-pub const MAX_SHARED_PAUSE: Duration = Duration::from_secs(3);
+pub const MAX_SHARED_PROBE_INTERVAL: Duration = Duration::from_secs(3);
 /// Time between two probes of a node that knows no other node yet.
-const ALONE_PAUSE: Duration = Duration::from_secs(1);
+const SINGLE_NODE_PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// Probes are spread over a pause by this share of it, so that nodes that
 /// failed together don't probe together.
 const SPREAD: f64 = 0.5;
@@ -51,7 +51,7 @@
 
 /// Whether others have answers from the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Elsewhere {
+enum UpstreamState {
     Unknown,
     Answering,
 }
@@ -71,14 +71,14 @@
 #[derive(Clone, Debug)]
 pub struct CircuitBreaker {
     policy: ProbePolicy,
-    elsewhere: Elsewhere,
+    upstream: UpstreamState,
     state: State,
 }
 
 impl CircuitBreaker {
     /// A closed one.
     pub fn new(policy: ProbePolicy) -> Self {
-        Self { policy, elsewhere: Elsewhere::Unknown, state: ANSWERED }
+        Self { policy, upstream: UpstreamState::Unknown, state: ANSWERED }
     }
 
     /// So many nodes are known now, this one among them.
@@ -97,8 +97,8 @@
         if now < next_probe {
             return false;
         }
-        let pause = spread(self.pause(failed_probes), draw);
-        self.state = State::Open { next_probe: now + pause, failed_probes: failed_probes + 1 };
+        let probe_interval = spread(self.probe_interval(failed_probes), draw);
+        self.state = State::Open { next_probe: now + probe_interval, failed_probes: failed_probes + 1 };
         true
     }
 
@@ -113,14 +113,14 @@
         let since = if failures == 0 { due_at } else { since.min(due_at) };
         let failures = failures.saturating_add(1);
         self.state = State::Closed { failures, since };
-        if failures >= LEAST_FAILURES && now.since(since) >= FAILURE_TIME {
+        if failures >= MIN_FAILURES && now.since(since) >= FAILURE_TIME {
             self.open(now, draw);
         }
     }
 
     /// An upstream tells that the store doesn't answer it.
     pub fn note_upstream_unreachable(&mut self, now: Instant, draw: f64) {
-        self.elsewhere = Elsewhere::Unknown;
+        self.upstream = UpstreamState::Unknown;
         if !self.is_open() {
             self.open(now, draw);
         }
@@ -129,37 +129,37 @@
     /// An upstream tells that the store answers it, or another node. If that is
     /// news, the next call is made; tells whether calls were held back until now.
     pub fn note_upstream_answering(&mut self, now: Instant) -> bool {
-        let news = self.elsewhere != Elsewhere::Answering;
-        self.elsewhere = Elsewhere::Answering;
+        let is_new = self.upstream != UpstreamState::Answering;
+        self.upstream = UpstreamState::Answering;
         let State::Open { next_probe, .. } = self.state else { return false };
-        if news {
+        if is_new {
             self.state = State::Open { next_probe: next_probe.min(now), failed_probes: 0 };
         }
-        news
+        is_new
     }
 
     fn open(&mut self, now: Instant, draw: f64) {
         // Any moment of the pause is as good as another for the first probe.
-        let next_probe = now + self.pause(0).mul_f64(draw.clamp(0.0, 1.0));
+        let next_probe = now + self.probe_interval(0).mul_f64(draw.clamp(0.0, 1.0));
         self.state = State::Open { next_probe, failed_probes: 0 };
     }
 
-    fn pause(&self, failed_probes: u32) -> Duration {
+    fn probe_interval(&self, failed_probes: u32) -> Duration {
         if self.policy.relied_on {
-            return LEAST_PAUSE;
+            return MIN_PROBE_INTERVAL;
         }
-        if self.elsewhere == Elsewhere::Answering {
-            return exponential_backoff(LEAST_PAUSE, LONGEST_OWN_PAUSE, failed_probes);
+        if self.upstream == UpstreamState::Answering {
+            return exponential_backoff(MIN_PROBE_INTERVAL, MAX_OWN_PROBE_INTERVAL, failed_probes);
         }
         if self.policy.nodes < 2 {
-            return ALONE_PAUSE;
+            return SINGLE_NODE_PROBE_INTERVAL;
         }
         let shared = self.policy.nodes as f64 / self.policy.calls_per_second.max(f64::MIN_POSITIVE);
-        Duration::from_secs_f64(shared.min(MAX_SHARED_PAUSE.as_secs_f64())).max(LEAST_PAUSE)
+        Duration::from_secs_f64(shared.min(MAX_SHARED_PROBE_INTERVAL.as_secs_f64())).max(MIN_PROBE_INTERVAL)
     }
 }
 
 /// A pause that differs by chance but is the given one on average.
-fn spread(pause: Duration, draw: f64) -> Duration {
-    pause.mul_f64(1.0 + SPREAD * (draw.clamp(0.0, 1.0) - 0.5))
+fn spread(probe_interval: Duration, draw: f64) -> Duration {
+    probe_interval.mul_f64(1.0 + SPREAD * (draw.clamp(0.0, 1.0) - 0.5))
 }
--- a/crates/core/src/permits/client.rs
+++ b/crates/core/src/permits/client.rs
@@ -9,27 +9,27 @@
 
 /// A call without an answer is made again after this time: a home answers within
 /// 4 ms, and datagrams may be lost.
-const ASK_AGAIN: Duration = Duration::from_millis(30);
+const RESEND_AFTER: Duration = Duration::from_millis(30);
 /// Homes that may send a call on to another one before it rests for that time.
-const HOPS_BEFORE_REST: usize = 3;
+const REDIRECTS_BEFORE_BACKOFF: usize = 3;
 /// Calls to one home before the next one is asked.
-const CALLS_TO_ONE_HOME: u32 = 2;
+const MAX_CALLS_PER_COORDINATOR: u32 = 2;
 /// A home that gave no answer is asked last for this time.
-const SILENT_TIME: Duration = Duration::from_secs(2);
+const UNRESPONSIVE_TTL: Duration = Duration::from_secs(2);
 /// A request that waits for this time without an answer may use the node's own part.
-const OWN_PART_AFTER: Duration = Duration::from_millis(150);
+const LOCAL_SHARE_AFTER: Duration = Duration::from_millis(150);
 /// Longest time that a request waits: a home that is away is replaced within 0.5 s.
-const LONGEST_WAIT: Duration = Duration::from_millis(700);
+const MAX_WAIT: Duration = Duration::from_millis(700);
 /// What a request is told that waited in vain.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
 /// All nodes that reach no home use this part of a limit together.
-const OWN_PART: f64 = 0.3;
+const LOCAL_SHARE: f64 = 0.3;
 /// Time over which requests are counted to know how many come.
-const RATE_TIME: f64 = 0.5;
+const RATE_TIME_CONSTANT_SECONDS: f64 = 0.5;
 /// Part of the permits used in their life that are asked for ahead.
-const AHEAD_PART: f64 = 0.5;
+const AHEAD_SHARE: f64 = 0.5;
 /// Tenants without a request for this time are forgotten.
-const FORGET_AFTER: Duration = Duration::from_secs(10);
+const IDLE_TTL: Duration = Duration::from_secs(10);
 
 /// A call to a home.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -77,7 +77,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Held {
+struct TenantState {
     limit: RateLimit,
     stock: u32,
     stock_until: Instant,
@@ -87,18 +87,18 @@
     /// Requests that wait.
     waiting: u32,
     /// Since when none of them got an answer.
-    waits_since: Instant,
+    waiting_since: Instant,
     call: Option<Call>,
     /// Homes in a row that said that another one is to be asked.
-    hops: usize,
+    redirects: usize,
     /// No home is asked before this time.
-    rests_until: Instant,
+    backoff_until: Instant,
     /// The node's own part, used where no home answers.
-    own: f64,
-    own_at: Instant,
+    local_tokens: f64,
+    local_updated_at: Instant,
 }
 
-impl Held {
+impl TenantState {
     fn new(now: Instant, limit: RateLimit) -> Self {
         Self {
             limit,
@@ -107,21 +107,21 @@
             rate: 0.0,
             at: now,
             waiting: 0,
-            waits_since: now,
+            waiting_since: now,
             call: None,
-            hops: 0,
-            rests_until: now,
-            own: 0.0,
-            own_at: now,
+            redirects: 0,
+            backoff_until: now,
+            local_tokens: 0.0,
+            local_updated_at: now,
         }
     }
 
     fn rate_now(&self, now: Instant) -> f64 {
-        self.rate * (-now.since(self.at).as_secs_f64() / RATE_TIME).exp()
+        self.rate * (-now.since(self.at).as_secs_f64() / RATE_TIME_CONSTANT_SECONDS).exp()
     }
 
     fn note_arrival(&mut self, now: Instant) {
-        self.rate = self.rate_now(now) + 1.0 / RATE_TIME;
+        self.rate = self.rate_now(now) + 1.0 / RATE_TIME_CONSTANT_SECONDS;
         self.at = now;
     }
 
@@ -135,10 +135,10 @@
 
     /// Permits to hold for requests to come.
     fn ahead(&self, now: Instant) -> u32 {
-        (self.rate_now(now) * PERMIT_TTL.as_secs_f64() * AHEAD_PART) as u32
+        (self.rate_now(now) * PERMIT_TTL.as_secs_f64() * AHEAD_SHARE) as u32
     }
 
-    fn wants(&self, now: Instant) -> bool {
+    fn needs_call(&self, now: Instant) -> bool {
         self.waiting > 0 || self.stock(now) < self.ahead(now) / 2
     }
 
@@ -149,13 +149,13 @@
     }
 
     /// Takes one of the node's own part of the limit.
-    fn take_own(&mut self, now: Instant, nodes: usize) -> bool {
-        let rate = self.limit.per_second * OWN_PART / nodes.max(1) as f64;
-        self.own = (self.own + now.since(self.own_at).as_secs_f64() * rate).min(1.0);
-        self.own_at = now;
-        let takes = self.own >= 1.0;
+    fn take_local(&mut self, now: Instant, nodes: usize) -> bool {
+        let rate = self.limit.per_second * LOCAL_SHARE / nodes.max(1) as f64;
+        self.local_tokens = (self.local_tokens + now.since(self.local_updated_at).as_secs_f64() * rate).min(1.0);
+        self.local_updated_at = now;
+        let takes = self.local_tokens >= 1.0;
         if takes {
-            self.own -= 1.0;
+            self.local_tokens -= 1.0;
         }
         takes
     }
@@ -164,8 +164,8 @@
 /// The permits that a node holds and asks for.
 #[derive(Debug, Default)]
 pub struct PermitClient {
-    tenants: BTreeMap<TenantKey, Held>,
-    silent_until: BTreeMap<NodeId, Instant>,
+    tenants: BTreeMap<TenantKey, TenantState>,
+    unresponsive_until: BTreeMap<NodeId, Instant>,
     last_number: u64,
 }
 
@@ -173,75 +173,75 @@
     /// A request of a tenant came: it takes a permit, or waits for one.
     /// Gives back whether it may go on.
     pub fn take(&mut self, now: Instant, tenant: &Tenant) -> bool {
-        let held = self.tenants.entry(tenant.key).or_insert_with(|| Held::new(now, tenant.limit));
-        held.limit = tenant.limit;
-        held.note_arrival(now);
-        if held.waiting == 0 && held.stock(now) > 0 {
-            held.stock -= 1;
+        let state = self.tenants.entry(tenant.key).or_insert_with(|| TenantState::new(now, tenant.limit));
+        state.limit = tenant.limit;
+        state.note_arrival(now);
+        if state.waiting == 0 && state.stock(now) > 0 {
+            state.stock -= 1;
             return true;
         }
-        if held.waiting == 0 {
-            held.waits_since = now;
+        if state.waiting == 0 {
+            state.waiting_since = now;
         }
-        held.waiting += 1;
+        state.waiting += 1;
         false
     }
 
     /// Whether permits of a tenant are to be asked for ahead.
-    pub fn is_short(&self, now: Instant, tenant: TenantKey) -> bool {
-        self.tenants.get(&tenant).is_some_and(|held| held.call.is_none() && held.wants(now))
+    pub fn should_call(&self, now: Instant, tenant: TenantKey) -> bool {
+        self.tenants.get(&tenant).is_some_and(|state| state.call.is_none() && state.needs_call(now))
     }
 
     /// A request that had a permit was not sent to any server.
-    pub fn give_back(&mut self, now: Instant, tenant: TenantKey) {
-        if let Some(held) = self.tenants.get_mut(&tenant) {
-            let until = held.stock_until.max(now);
-            held.add_stock(1, until, now);
+    pub fn return_permit(&mut self, now: Instant, tenant: TenantKey) {
+        if let Some(state) = self.tenants.get_mut(&tenant) {
+            let until = state.stock_until.max(now);
+            state.add_stock(1, until, now);
         }
     }
 
     /// Calls that are to be made now. `coordinators` are all homes.
     pub fn calls(&mut self, now: Instant, coordinators: &[Coordinator]) -> Vec<PermitCall> {
-        self.tenants.retain(|_, held| held.waiting > 0 || now.since(held.at) < FORGET_AFTER);
-        self.silent_until.retain(|_, until| now < *until);
-        let mut asks = Vec::new();
-        for (tenant, held) in &mut self.tenants {
-            let overdue = held.call.filter(|call| now.since(call.sent_at) >= ASK_AGAIN);
-            if let Some(call) = overdue.filter(|call| call.calls >= CALLS_TO_ONE_HOME) {
-                self.silent_until.insert(call.coordinator, now + SILENT_TIME);
-                held.hops = 0;
+        self.tenants.retain(|_, state| state.waiting > 0 || now.since(state.at) < IDLE_TTL);
+        self.unresponsive_until.retain(|_, until| now < *until);
+        let mut due_calls = Vec::new();
+        for (tenant, state) in &mut self.tenants {
+            let overdue = state.call.filter(|call| now.since(call.sent_at) >= RESEND_AFTER);
+            if let Some(call) = overdue.filter(|call| call.calls >= MAX_CALLS_PER_COORDINATOR) {
+                self.unresponsive_until.insert(call.coordinator, now + UNRESPONSIVE_TTL);
+                state.redirects = 0;
             }
-            let answer_may_come = held.call.is_some() && overdue.is_none();
-            if answer_may_come || now < held.rests_until {
+            let answer_may_come = state.call.is_some() && overdue.is_none();
+            if answer_may_come || now < state.backoff_until {
                 continue;
             }
-            held.call = None;
-            if !held.wants(now) {
+            state.call = None;
+            if !state.needs_call(now) {
                 continue;
             }
             let mut ordered = coordinators_of(*tenant, coordinators);
-            ordered.sort_by_key(|coordinator| self.silent_until.contains_key(coordinator));
-            let Some(coordinator) = ordered.get(held.hops % ordered.len().max(1)).copied() else { continue };
+            ordered.sort_by_key(|coordinator| self.unresponsive_until.contains_key(coordinator));
+            let Some(coordinator) = ordered.get(state.redirects % ordered.len().max(1)).copied() else { continue };
             let calls = overdue.filter(|call| call.coordinator == coordinator).map_or(0, |call| call.calls);
             self.last_number += 1;
-            let ask = PermitCall {
+            let permit_call = PermitCall {
                 coordinator,
                 tenant: *tenant,
                 number: self.last_number,
-                urgent: held.waiting,
-                ahead: held.ahead(now).saturating_sub(held.stock(now)),
+                urgent: state.waiting,
+                ahead: state.ahead(now).saturating_sub(state.stock(now)),
             };
-            let (number, urgent) = (ask.number, ask.urgent);
-            held.call = Some(Call { number, coordinator, sent_at: now, urgent, calls: calls + 1 });
-            asks.push(ask);
+            let (number, urgent) = (permit_call.number, permit_call.urgent);
+            state.call = Some(Call { number, coordinator, sent_at: now, urgent, calls: calls + 1 });
+            due_calls.push(permit_call);
         }
-        asks
+        due_calls
     }
 
     /// Time at which something is to be done without news; `None` if nothing waits.
     pub fn next_due(&self) -> Option<Instant> {
-        let dues = self.tenants.values().filter(|held| held.waiting > 0);
-        let due = |held: &Held| held.call.map_or(held.waits_since, |call| call.sent_at) + ASK_AGAIN;
+        let dues = self.tenants.values().filter(|state| state.waiting > 0);
+        let due = |state: &TenantState| state.call.map_or(state.waiting_since, |call| call.sent_at) + RESEND_AFTER;
         dues.map(due).min()
     }
 
@@ -255,32 +255,32 @@
         granted: u32,
         retry_after: Duration,
     ) -> PermitOutcome {
-        let Some(held) = self.tenants.get_mut(&tenant) else { return PermitOutcome::default() };
-        let Some(call) = held.call.filter(|call| call.number == number) else { return PermitOutcome::default() };
-        held.call = None;
-        held.hops = 0;
-        self.silent_until.remove(&call.coordinator);
+        let Some(state) = self.tenants.get_mut(&tenant) else { return PermitOutcome::default() };
+        let Some(call) = state.call.filter(|call| call.number == number) else { return PermitOutcome::default() };
+        state.call = None;
+        state.redirects = 0;
+        self.unresponsive_until.remove(&call.coordinator);
         let until = call.sent_at + PERMIT_TTL;
         let granted = if now < until { granted } else { 0 };
-        let go = granted.min(held.waiting);
-        let refused = call.urgent.saturating_sub(granted).min(held.waiting - go);
-        held.waiting -= go + refused;
-        held.waits_since = now;
+        let go = granted.min(state.waiting);
+        let refused = call.urgent.saturating_sub(granted).min(state.waiting - go);
+        state.waiting -= go + refused;
+        state.waiting_since = now;
         if granted > go {
-            held.add_stock(granted - go, until, now);
+            state.add_stock(granted - go, until, now);
         }
         PermitOutcome { go, refused, retry_after }
     }
 
     /// A home said that another one is to be asked.
     pub fn note_not_coordinator(&mut self, now: Instant, tenant: TenantKey, number: u64) {
-        let Some(held) = self.tenants.get_mut(&tenant) else { return };
-        let Some(call) = held.call.filter(|call| call.number == number) else { return };
-        self.silent_until.remove(&call.coordinator);
-        held.call = None;
-        held.hops += 1;
-        if held.hops % HOPS_BEFORE_REST == 0 {
-            held.rests_until = now + ASK_AGAIN;
+        let Some(state) = self.tenants.get_mut(&tenant) else { return };
+        let Some(call) = state.call.filter(|call| call.number == number) else { return };
+        self.unresponsive_until.remove(&call.coordinator);
+        state.call = None;
+        state.redirects += 1;
+        if state.redirects % REDIRECTS_BEFORE_BACKOFF == 0 {
+            state.backoff_until = now + RESEND_AFTER;
         }
     }
 
@@ -289,19 +289,19 @@
     /// all nodes that take requests.
     pub fn overdue(&mut self, now: Instant, nodes: usize) -> Vec<TenantOutcome> {
         let mut result = Vec::new();
-        for (tenant, held) in &mut self.tenants {
-            let waited = now.since(held.waits_since);
-            if held.waiting == 0 || waited < OWN_PART_AFTER {
+        for (tenant, state) in &mut self.tenants {
+            let waited = now.since(state.waiting_since);
+            if state.waiting == 0 || waited < LOCAL_SHARE_AFTER {
                 continue;
             }
             let mut answered = PermitOutcome { retry_after: DEFAULT_RETRY_AFTER, ..PermitOutcome::default() };
-            if held.take_own(now, nodes) {
+            if state.take_local(now, nodes) {
                 answered.go = 1;
             }
-            if waited >= LONGEST_WAIT {
-                answered.refused = held.waiting - answered.go;
+            if waited >= MAX_WAIT {
+                answered.refused = state.waiting - answered.go;
             }
-            held.waiting -= answered.go + answered.refused;
+            state.waiting -= answered.go + answered.refused;
             if answered.go + answered.refused > 0 {
                 result.push(TenantOutcome { tenant: *tenant, answered });
             }
--- a/crates/core/src/permits/issuer.rs
+++ b/crates/core/src/permits/issuer.rs
@@ -14,13 +14,13 @@
 /// [`CONTACT_TIMEOUT`]: one that is cut off grants no more by then.
 const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(600);
 /// A process that did nothing for this time may have been replaced meanwhile.
-const LONGEST_PAUSE: Duration = Duration::from_millis(450);
+const MAX_TICK_GAP: Duration = Duration::from_millis(450);
 /// Permits are granted ahead only as long as this part of a bucket is left.
-const LEFT_FOR_URGENT: f64 = 0.3;
+const URGENT_RESERVE: f64 = 0.3;
 /// Longest time that a caller is told to wait.
-const LONGEST_COME_BACK: Duration = Duration::from_secs(5);
+const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
 /// Time between two looks for buckets that are full again.
-const PRUNE_EVERY: Duration = Duration::from_secs(2);
+const PRUNE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// What a home answers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,11 +44,11 @@
 pub struct PermitIssuer {
     margin: LimitMargin,
     /// Since when it hears most nodes without a break.
-    hears_most_since: Option<Instant>,
+    coverage_since: Option<Instant>,
     ticked_at: Instant,
     buckets: HashMap<TenantKey, Bucket>,
     /// When each node was heard last.
-    heard: HashKeyMap<u64, Instant>,
+    contacts: HashKeyMap<u64, Instant>,
     pruned_at: Instant,
 }
 
@@ -57,37 +57,37 @@
     pub fn new(now: Instant, margin: LimitMargin) -> Self {
         Self {
             margin,
-            hears_most_since: None,
+            coverage_since: None,
             ticked_at: now,
             buckets: HashMap::new(),
-            heard: HashKeyMap::default(),
+            contacts: HashKeyMap::default(),
             pruned_at: now,
         }
     }
 
     /// Another node was heard.
-    pub fn note_heard(&mut self, now: Instant, node: NodeId) {
-        self.heard.insert(node.0, now);
+    pub fn note_contact(&mut self, now: Instant, node: NodeId) {
+        self.contacts.insert(node.0, now);
     }
 
     /// Time passes; to be told several times in [`CONTACT_TIMEOUT`]. `other_nodes` is the
     /// number of the other nodes.
     pub fn tick(&mut self, now: Instant, other_nodes: usize) {
-        let paused = now.since(self.ticked_at) > LONGEST_PAUSE;
+        let paused = now.since(self.ticked_at) > MAX_TICK_GAP;
         self.ticked_at = now;
-        let heard = self.heard.values().filter(|at| now.since(**at) < CONTACT_TIMEOUT).count();
-        if paused || heard * 2 < other_nodes {
-            self.hears_most_since = None;
+        let contacts = self.contacts.values().filter(|at| now.since(**at) < CONTACT_TIMEOUT).count();
+        if paused || contacts * 2 < other_nodes {
+            self.coverage_since = None;
         } else {
-            self.hears_most_since.get_or_insert(now);
+            self.coverage_since.get_or_insert(now);
         }
     }
 
     /// Since when this home is the one that grants, given those that come before it
     /// for the tenant; `None` if it is not.
     pub fn may_grant(&self, now: Instant, before: &[NodeId]) -> Option<Instant> {
-        let since = self.hears_most_since.filter(|_| now.since(self.ticked_at) <= LONGEST_PAUSE)?;
-        match before.iter().filter_map(|coordinator| self.heard.get(&coordinator.0)).max() {
+        let since = self.coverage_since.filter(|_| now.since(self.ticked_at) <= MAX_TICK_GAP)?;
+        match before.iter().filter_map(|coordinator| self.contacts.get(&coordinator.0)).max() {
             Some(at) if now.since(*at) < COORDINATOR_TIMEOUT => None,
             Some(at) => Some(since.max(*at)),
             None => Some(since),
@@ -106,12 +106,12 @@
         ahead: u32,
     ) -> Grant {
         self.prune(now);
-        let (capacity, at_start) = (self.margin.capacity(limit), self.margin.at_start(limit));
+        let (capacity, initial_level) = (self.margin.capacity(limit), self.margin.initial_level(limit));
         let rate = limit.per_second.max(f64::MIN_POSITIVE);
-        let bucket = self.buckets.entry(tenant).or_insert(Bucket { level: at_start, promised: 0.0, at: since });
+        let bucket = self.buckets.entry(tenant).or_insert(Bucket { level: initial_level, promised: 0.0, at: since });
         if bucket.at < since {
             // Another home granted in between.
-            *bucket = Bucket { level: at_start, promised: 0.0, at: since };
+            *bucket = Bucket { level: initial_level, promised: 0.0, at: since };
         }
         let gained = now.since(bucket.at).as_secs_f64() * rate;
         bucket.level = (bucket.level + gained).min(capacity);
@@ -119,23 +119,23 @@
         bucket.at = now;
         let for_urgent = urgent.min(bucket.level as u32);
         bucket.level -= f64::from(for_urgent);
-        let spare = (bucket.level - capacity * LEFT_FOR_URGENT).max(0.0) as u32;
+        let spare = (bucket.level - capacity * URGENT_RESERVE).max(0.0) as u32;
         let for_ahead = if for_urgent == urgent { ahead.min(spare) } else { 0 };
         bucket.level -= f64::from(for_ahead);
         let wait = (1.0 - bucket.level + bucket.promised).max(0.0) / rate;
-        let longest = LONGEST_COME_BACK.as_secs_f64();
+        let longest = MAX_RETRY_AFTER.as_secs_f64();
         bucket.promised = (bucket.promised + f64::from(urgent - for_urgent)).min(rate * longest);
         Grant { granted: for_urgent + for_ahead, retry_after: Duration::from_secs_f64(wait.min(longest)) }
     }
 
     /// Forgets buckets that are full again, and nodes that are not heard any more.
     fn prune(&mut self, now: Instant) {
-        if now.since(self.pruned_at) < PRUNE_EVERY {
+        if now.since(self.pruned_at) < PRUNE_INTERVAL {
             return;
         }
         self.pruned_at = now;
         let window = self.margin.window;
         self.buckets.retain(|_, bucket| now.since(bucket.at) < window * 4);
-        self.heard.retain(|_, at| now.since(*at) < window * 4);
+        self.contacts.retain(|_, at| now.since(*at) < window * 4);
     }
 }
--- a/crates/core/src/permits/mod.rs
+++ b/crates/core/src/permits/mod.rs
@@ -49,8 +49,8 @@
 /// Parts of the margin: one for the bucket, one for each home that starts anew (up to
 /// four in a window where the homes restart in turn); the rest is for nodes that reach
 /// no home. By the seeded schedules: with 0.5 and 0.25 one in 24 broke the limit.
-const BUCKET_PART: f64 = 0.4;
-const START_PART: f64 = 0.1;
+const BUCKET_SHARE: f64 = 0.4;
+const START_SHARE: f64 = 0.1;
 
 impl LimitMargin {
     /// Requests by which a limit may be exceeded in a window.
@@ -62,12 +62,12 @@
     /// Permits that a bucket holds at most.
     fn capacity(&self, limit: &RateLimit) -> f64 {
         let late = limit.per_second * PERMIT_TTL.as_secs_f64();
-        (limit.burst + self.of(limit) * BUCKET_PART - late).max(1.0)
+        (limit.burst + self.of(limit) * BUCKET_SHARE - late).max(1.0)
     }
 
     /// Permits that a home has which knows nothing of those granted before.
-    fn at_start(&self, limit: &RateLimit) -> f64 {
-        (self.of(limit) * START_PART).min(self.capacity(limit))
+    fn initial_level(&self, limit: &RateLimit) -> f64 {
+        (self.of(limit) * START_SHARE).min(self.capacity(limit))
     }
 }
 
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -11,12 +11,12 @@
 const TOKEN_LIMIT: f64 = 100.0;
 
 /// Doublings after which a pause has reached any bound.
-const MOST_DOUBLINGS: u32 = 16;
+const MAX_DOUBLINGS: u32 = 16;
 
 /// The pause after so many failures in a row before this one: `first`, doubled
 /// each time, `longest` at most.
 pub fn exponential_backoff(first: Duration, longest: Duration, failures: u32) -> Duration {
-    first.saturating_mul(2_u32.pow(failures.min(MOST_DOUBLINGS))).min(longest)
+    first.saturating_mul(2_u32.pow(failures.min(MAX_DOUBLINGS))).min(longest)
 }
 
 /// The retry budgets of all rows at one node.
--- a/crates/core/src/start_lease.rs
+++ b/crates/core/src/start_lease.rs
@@ -15,12 +15,12 @@
 
 /// Time from the last look at the lease until the request is at its server, on a connection
 /// that is open: a one-way delay of some milliseconds and the turns of two busy processes.
-const WAY_TO_SERVER: Duration = Duration::from_millis(500);
+const SEND_ALLOWANCE: Duration = Duration::from_millis(500);
 /// The way takes no more than this part of the time in which an end has to be in force.
-const WAY_SHARE: u32 = 2;
+const ALLOWANCE_DIVISOR: u32 = 2;
 /// A lease is due for renewal once this share of it has passed: of 2.5 s that leaves one
 /// for a read of the store, which takes some milliseconds and is given up after 1.5 s.
-const RENEWAL_SHARE: f64 = 0.6;
+const RENEW_AFTER_SHARE: f64 = 0.6;
 
 /// The right to start items of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -32,9 +32,9 @@
 impl StartLease {
     /// A lease that is not held yet, where the end of a job has to be in force within this
     /// time after it was acknowledged.
-    pub fn new(end_in_force: Duration) -> Self {
-        let way = WAY_TO_SERVER.min(end_in_force / WAY_SHARE);
-        Self { length: end_in_force.saturating_sub(way), known_open_at: None }
+    pub fn new(cancel_deadline: Duration) -> Self {
+        let allowance = SEND_ALLOWANCE.min(cancel_deadline / ALLOWANCE_DIVISOR);
+        Self { length: cancel_deadline.saturating_sub(allowance), known_open_at: None }
     }
 
     /// The job was open at that moment.
@@ -49,7 +49,7 @@
 
     /// Whether it is time to find out whether the job is still open.
     pub fn is_due(&self, now: Instant) -> bool {
-        self.age(now).is_none_or(|age| age >= self.length.mul_f64(RENEWAL_SHARE))
+        self.age(now).is_none_or(|age| age >= self.length.mul_f64(RENEW_AFTER_SHARE))
     }
 
     /// Time since the job was last known to be open; `None` if it never was.
--- a/crates/core/src/startup_hold.rs
+++ b/crates/core/src/startup_hold.rs
@@ -15,20 +15,20 @@
 
 /// Part of the time that a caller waits in which its request is held: the rest is for
 /// being served.
-const HELD_PART: f64 = 0.9;
+const HOLD_SHARE: f64 = 0.9;
 /// Time for which a request without a deadline is held: whoever is told to come back
 /// later than that is no worse off.
-const HELD_WITHOUT_DEADLINE: Duration = Duration::from_millis(800);
+const DEFAULT_HOLD: Duration = Duration::from_millis(800);
 /// Longest time for which a request is held, whatever deadline it names.
-const LONGEST_HELD: Duration = Duration::from_secs(30);
+const MAX_HOLD: Duration = Duration::from_secs(30);
 /// Memory that a held request takes: what its connection has read of it, and its task.
 const REQUEST_BYTES: usize = 16 << 10;
 /// Memory that all held requests may take. The smallest machines have 120 MB.
-const HELD_BYTES: usize = 16 << 20;
+const MAX_HELD_BYTES: usize = 16 << 20;
 
 /// Time for which a request is held at most whose caller waits for `left`, if it says so.
-fn longest_start_hold(left: Option<Duration>) -> Duration {
-    left.map_or(HELD_WITHOUT_DEADLINE, |left| left.mul_f64(HELD_PART).min(LONGEST_HELD))
+fn max_hold(left: Option<Duration>) -> Duration {
+    left.map_or(DEFAULT_HOLD, |left| left.mul_f64(HOLD_SHARE).min(MAX_HOLD))
 }
 
 /// What is known of the table by which requests are served.
@@ -100,16 +100,16 @@
 
 impl StartupHold {
     /// Most requests that are held at a time.
-    pub const LIMIT: usize = HELD_BYTES / REQUEST_BYTES;
+    pub const LIMIT: usize = MAX_HELD_BYTES / REQUEST_BYTES;
 
     /// A request arrives whose caller waits for `left`, if it says so. Whoever is held is
     /// to be told of by [`Self::leave`].
-    pub fn arrive(&mut self, known: &StartupState, left: Option<Duration>) -> Arrival {
-        if !known.waits() || self.held >= Self::LIMIT {
+    pub fn arrive(&mut self, state: &StartupState, left: Option<Duration>) -> Arrival {
+        if !state.waits() || self.held >= Self::LIMIT {
             return Arrival::Proceed;
         }
         self.held += 1;
-        Arrival::Hold(longest_start_hold(left))
+        Arrival::Hold(max_hold(left))
     }
 
     /// A held request goes on, is refused, or has lost its caller.
--- a/crates/core/src/startup_pacing.rs
+++ b/crates/core/src/startup_pacing.rs
@@ -17,7 +17,7 @@
 /// Time after which requests are sent as they come although no keeper is known: nodes that
 /// hear each other know keepers within half a second, and a node that hears nobody is
 /// better served by the loads that servers tell.
-const LONGEST_PACING: Duration = Duration::from_secs(2);
+const MAX_PACING: Duration = Duration::from_secs(2);
 
 /// A request that wants to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -25,7 +25,7 @@
     /// When it was received.
     pub received: Instant,
     /// Until when it has to be sent to be in time.
-    pub timely_until: Instant,
+    pub send_deadline: Instant,
     /// Until when its caller waits.
     pub until: Instant,
 }
@@ -34,7 +34,7 @@
     /// Requests go in the order of this: those that can be in time first, and of these,
     /// as of the others, those that came first.
     fn order(&self, now: Instant) -> (bool, Instant) {
-        (self.timely_until < now, self.received)
+        (self.send_deadline < now, self.received)
     }
 }
 
@@ -86,7 +86,7 @@
 impl StartupPacer {
     /// The node knows enough to serve from now on.
     pub fn begin(&mut self, now: Instant) {
-        self.ends = Some(now + LONGEST_PACING);
+        self.ends = Some(now + MAX_PACING);
     }
 
     /// So many nodes send requests, this one among them.
@@ -101,7 +101,13 @@
 
     /// A request wants to be sent to a service, of which all nodes together may use so
     /// many free slots.
-    pub fn ask(&mut self, now: Instant, service: &Arc<str>, free_slots: f64, request: PacedRequest) -> PacingDecision {
+    pub fn submit(
+        &mut self,
+        now: Instant,
+        service: &Arc<str>,
+        free_slots: f64,
+        request: PacedRequest,
+    ) -> PacingDecision {
         let nodes = self.nodes;
         let entry = self.services.entry(service.clone()).or_default();
         self.last_number += 1;
--- a/crates/core/src/startup_snapshot.rs
+++ b/crates/core/src/startup_snapshot.rs
@@ -24,7 +24,7 @@
 pub const MAX_SNAPSHOT_AGE: Duration = Duration::from_secs(3600);
 /// Least time between two calls for the same records: a snapshot of 10,000 servers takes
 /// 64 ms of a link of 200 Mbit/s.
-const CALL_PAUSE: Duration = Duration::from_millis(300);
+const FETCH_INTERVAL: Duration = Duration::from_millis(300);
 
 /// What is known of the records under a prefix.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,15 +47,15 @@
 }
 
 impl StoreReachability {
-    fn is_away(&self) -> bool {
+    fn is_unreachable(&self) -> bool {
         !self.upstream_reaches_store && self.own_age.is_none_or(|age| age > AGE_LIMIT)
     }
 }
 
 /// Whether a snapshot of this revision, confirmed by the store at that time, is believed
 /// rather than what is known.
-pub fn replaces(known: RecordState, revision: u64, confirmed: WallTime, now: WallTime) -> bool {
-    is_newer_revision(known, revision) && !is_too_old(confirmed, now)
+pub fn replaces(present_state: RecordState, revision: u64, confirmed: WallTime, now: WallTime) -> bool {
+    is_newer_revision(present_state, revision) && !is_too_old(confirmed, now)
 }
 
 /// Whether a snapshot that the store confirmed at that time is too old to be believed by
@@ -66,8 +66,8 @@
 
 /// Whether records of this revision that a running node knows are believed rather than what
 /// is known, however old they are: that node serves by them too.
-pub fn is_newer_revision(known: RecordState, revision: u64) -> bool {
-    match known {
+pub fn is_newer_revision(present_state: RecordState, revision: u64) -> bool {
+    match present_state {
         RecordState::Nothing => true,
         RecordState::Stored(present) => revision > present,
         RecordState::Received => false,
@@ -95,7 +95,7 @@
 
     /// Whether snapshots are believed now.
     pub fn may_use_snapshots(&self, now: Instant, contact: StoreReachability) -> bool {
-        now.since(self.started) >= STORE_TIMEOUT && contact.is_away()
+        now.since(self.started) >= STORE_TIMEOUT && contact.is_unreachable()
     }
 
     /// Whether another node that knows a prefix up to a revision would be called for it.
@@ -104,15 +104,15 @@
         now: Instant,
         contact: StoreReachability,
         prefix: &str,
-        known: RecordState,
+        present_state: RecordState,
         offered: u64,
     ) -> bool {
-        let is_newer = match known {
+        let is_newer = match present_state {
             RecordState::Nothing => offered > 0,
             RecordState::Stored(present) => offered > present,
             RecordState::Received => false,
         };
-        let called_lately = self.called.get(prefix).is_some_and(|at| now.since(*at) < CALL_PAUSE);
+        let called_lately = self.called.get(prefix).is_some_and(|at| now.since(*at) < FETCH_INTERVAL);
         is_newer && !called_lately && self.may_use_snapshots(now, contact)
     }
 
--- a/crates/core/tests/circuit_breaker.rs
+++ b/crates/core/tests/circuit_breaker.rs
@@ -1,6 +1,6 @@
 //! Calls to a record store that is away, over all nodes.
 
-use latchwheel_core::circuit_breaker::{CircuitBreaker, ProbePolicy, FAILURE_TIME, MAX_SHARED_PAUSE};
+use latchwheel_core::circuit_breaker::{CircuitBreaker, ProbePolicy, FAILURE_TIME, MAX_SHARED_PROBE_INTERVAL};
 use latchwheel_core::time::Instant;
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -8,7 +8,7 @@
 
 const START: Instant = Instant::from_micros(60_000_000);
 /// Each node wants to call this often: it has jobs, leases and watches.
-const WANTS_EVERY: Duration = Duration::from_millis(50);
+const CALL_INTERVAL: Duration = Duration::from_millis(50);
 const CALLS_PER_SECOND: f64 = 32.0;
 
 fn policy(nodes: usize) -> ProbePolicy {
@@ -32,7 +32,7 @@
                 calls += 1;
             }
         }
-        now = now + WANTS_EVERY;
+        now = now + CALL_INTERVAL;
     }
     calls
 }
@@ -47,7 +47,7 @@
         }
         // Beyond it every node still finds out by itself within its bound.
         let calls = calls_in_outage(seed, 300, 10);
-        let each = 10.0 / MAX_SHARED_PAUSE.as_secs_f64() * 1.3 + 1.0;
+        let each = 10.0 / MAX_SHARED_PROBE_INTERVAL.as_secs_f64() * 1.3 + 1.0;
         assert!(calls as f64 <= 300.0 * each, "{calls} calls of 300 nodes, seed {seed}");
     }
 }
@@ -65,8 +65,8 @@
             if breaker.may_call(now, random.random()) {
                 last = now;
             }
-            assert!(now.since(last) <= MAX_SHARED_PAUSE.mul_f64(1.25) + WANTS_EVERY);
-            now = now + WANTS_EVERY;
+            assert!(now.since(last) <= MAX_SHARED_PROBE_INTERVAL.mul_f64(1.25) + CALL_INTERVAL);
+            now = now + CALL_INTERVAL;
         }
     }
 }
@@ -100,7 +100,7 @@
 /// A node that the store turns away while it answers others asks less and less
 /// often, and at once when it is told that others are answered again.
 #[test]
-fn a_node_that_is_turned_away_goes_on_asking() {
+fn a_refused_node_keeps_probing() {
     let mut breaker = CircuitBreaker::new(policy(300));
     breaker.note_upstream_unreachable(START, 0.9);
     assert!(!breaker.may_call(START, 0.5));
@@ -114,7 +114,7 @@
             breaker.note_failure(now, now, 0.5);
             calls += 1;
         }
-        now = now + WANTS_EVERY;
+        now = now + CALL_INTERVAL;
     }
     assert!((6..=12).contains(&calls), "{calls} calls in ten seconds");
 }
--- a/crates/core/tests/permits.rs
+++ b/crates/core/tests/permits.rs
@@ -13,14 +13,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-const HOMES: usize = 3;
+const COORDINATORS: usize = 3;
 const STEP: Duration = Duration::from_millis(2);
 const REPORT_EVERY: Duration = Duration::from_millis(150);
 const MARGIN: LimitMargin = LimitMargin { window: Duration::from_secs(5), share: 0.1, requests: 20.0 };
 
 /// What goes wrong in a schedule.
 #[derive(Clone, Copy, Debug, Default)]
-struct Trouble {
+struct Faults {
     /// Share of messages that are lost.
     lost: f64,
     /// Share of messages that come up to 60 ms late.
@@ -38,12 +38,12 @@
     Report,
     PermitCall(PermitCall),
     Grant { tenant: TenantKey, number: u64, granted: u32, retry_after: Duration },
-    NotHome { tenant: TenantKey, number: u64 },
+    NotCoordinator { tenant: TenantKey, number: u64 },
 }
 
 struct Node {
     id: NodeId,
-    holder: PermitClient,
+    client: PermitClient,
     issuer: PermitIssuer,
     down_until: Instant,
     cut: bool,
@@ -63,9 +63,9 @@
     tenants: Vec<Arc<Tenant>>,
     /// Requests a second of each tenant at each node.
     arrivals: Vec<Vec<f64>>,
-    on_the_way: BTreeMap<(Instant, u64), (usize, usize, Message)>,
+    in_flight: BTreeMap<(Instant, u64), (usize, usize, Message)>,
     sent: u64,
-    trouble: Trouble,
+    faults: Faults,
     outcomes: Vec<Outcome>,
     /// Whether requests come yet: the nodes start before.
     opened: bool,
@@ -78,12 +78,12 @@
 
 impl Schedule {
     /// Tenants ask `load` times their limit, at a few nodes each.
-    fn new(seed: u64, nodes: usize, tenants: usize, load: f64, trouble: Trouble) -> Self {
+    fn new(seed: u64, nodes: usize, tenants: usize, load: f64, faults: Faults) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
         let now = Instant::from_micros(60_000_000);
         let node = |number: usize| Node {
             id: NodeId::of_name(&format!("node-{number}")),
-            holder: PermitClient::default(),
+            client: PermitClient::default(),
             issuer: PermitIssuer::new(now, MARGIN),
             down_until: now,
             cut: false,
@@ -105,23 +105,23 @@
         let arrivals = arrivals.collect();
         let outcomes = vec![Outcome::default(); tenants.len()];
         let nodes = (0..nodes).map(node).collect();
-        let on_the_way = BTreeMap::new();
-        Self { random, now, nodes, tenants, arrivals, on_the_way, sent: 0, trouble, outcomes, opened: false }
+        let in_flight = BTreeMap::new();
+        Self { random, now, nodes, tenants, arrivals, in_flight, sent: 0, faults, outcomes, opened: false }
     }
 
     fn coordinators(&self) -> Vec<Coordinator> {
-        self.nodes[..HOMES].iter().map(|node| Coordinator { node: node.id, fallback: false }).collect()
+        self.nodes[..COORDINATORS].iter().map(|node| Coordinator { node: node.id, fallback: false }).collect()
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
-        if self.random.random_bool(self.trouble.lost) || self.nodes[from].cut || self.nodes[to].cut {
+        if self.random.random_bool(self.faults.lost) || self.nodes[from].cut || self.nodes[to].cut {
             return;
         }
-        let late = self.random.random_bool(self.trouble.late);
+        let late = self.random.random_bool(self.faults.late);
         let delay = self.random.random_range(200..1500) + if late { self.random.random_range(0..60_000) } else { 0 };
         self.sent += 1;
         let at = self.now + Duration::from_micros(delay);
-        self.on_the_way.insert((at, self.sent), (from, to, message));
+        self.in_flight.insert((at, self.sent), (from, to, message));
     }
 
     fn run(&mut self, time: Duration) {
@@ -146,10 +146,10 @@
             if self.nodes[from].down_until > self.now {
                 continue;
             }
-            for to in (0..HOMES).filter(|to| *to != from) {
+            for to in (0..COORDINATORS).filter(|to| *to != from) {
                 self.send(from, to, Message::Report);
             }
-            if from < HOMES {
+            if from < COORDINATORS {
                 let others = self.nodes.len() - 1;
                 self.nodes[from].issuer.tick(self.now, others);
             }
@@ -168,7 +168,7 @@
                     continue;
                 }
                 let tenant = self.tenants[number].clone();
-                if self.nodes[node].holder.take(self.now, &tenant) {
+                if self.nodes[node].client.take(self.now, &tenant) {
                     self.outcomes[number].ran.push(self.now);
                 }
             }
@@ -191,50 +191,51 @@
             return;
         }
         let (coordinators, count) = (self.coordinators(), self.nodes.len());
-        let overdue = self.nodes[node].holder.overdue(self.now, count);
+        let overdue = self.nodes[node].client.overdue(self.now, count);
         overdue.into_iter().for_each(|waited| self.settle(waited));
-        for ask in self.nodes[node].holder.calls(self.now, &coordinators) {
-            let coordinator = coordinators.iter().position(|coordinator| coordinator.node == ask.coordinator).unwrap();
+        for permit_call in self.nodes[node].client.calls(self.now, &coordinators) {
+            let coordinator =
+                coordinators.iter().position(|coordinator| coordinator.node == permit_call.coordinator).unwrap();
             if coordinator == node {
-                let answer = self.grant(node, &ask);
+                let answer = self.grant(node, &permit_call);
                 self.take(node, answer);
             } else {
-                self.send(node, coordinator, Message::PermitCall(ask));
+                self.send(node, coordinator, Message::PermitCall(permit_call));
             }
         }
     }
 
-    fn grant(&mut self, node: usize, ask: &PermitCall) -> Message {
+    fn grant(&mut self, node: usize, permit_call: &PermitCall) -> Message {
         let (coordinators, now) = (self.coordinators(), self.now);
-        let limit = self.tenants[self.number_of(ask.tenant)].limit;
-        let ordered = coordinators_of(ask.tenant, &coordinators);
+        let limit = self.tenants[self.number_of(permit_call.tenant)].limit;
+        let ordered = coordinators_of(permit_call.tenant, &coordinators);
         let state = &mut self.nodes[node];
         let place = ordered.iter().position(|coordinator| *coordinator == state.id).unwrap();
         let since = match state.issuer.may_grant(now, &ordered[..place]) {
             Some(since) => since,
-            None if self.trouble.grants_blindly => Instant::from_micros(0),
-            None => return Message::NotHome { tenant: ask.tenant, number: ask.number },
+            None if self.faults.grants_blindly => Instant::from_micros(0),
+            None => return Message::NotCoordinator { tenant: permit_call.tenant, number: permit_call.number },
         };
-        let grant = state.issuer.grant(now, ask.tenant, &limit, since, ask.urgent, ask.ahead);
-        let (tenant, number) = (ask.tenant, ask.number);
+        let grant = state.issuer.grant(now, permit_call.tenant, &limit, since, permit_call.urgent, permit_call.ahead);
+        let (tenant, number) = (permit_call.tenant, permit_call.number);
         Message::Grant { tenant, number, granted: grant.granted, retry_after: grant.retry_after }
     }
 
     fn take(&mut self, node: usize, message: Message) {
         match message {
             Message::Grant { tenant, number, granted, retry_after } => {
-                let answered = self.nodes[node].holder.note_grant(self.now, tenant, number, granted, retry_after);
+                let answered = self.nodes[node].client.note_grant(self.now, tenant, number, granted, retry_after);
                 self.settle(TenantOutcome { tenant, answered });
             }
-            Message::NotHome { tenant, number } => {
-                self.nodes[node].holder.note_not_coordinator(self.now, tenant, number);
+            Message::NotCoordinator { tenant, number } => {
+                self.nodes[node].client.note_not_coordinator(self.now, tenant, number);
             }
             Message::Report | Message::PermitCall(_) => {}
         }
     }
 
     fn deliver(&mut self) {
-        while let Some(entry) = self.on_the_way.first_entry() {
+        while let Some(entry) = self.in_flight.first_entry() {
             if entry.key().0 > self.now {
                 return;
             }
@@ -244,11 +245,11 @@
             }
             match message {
                 Message::Report => {
-                    let heard = self.nodes[from].id;
-                    self.nodes[to].issuer.note_heard(self.now, heard);
+                    let sender = self.nodes[from].id;
+                    self.nodes[to].issuer.note_contact(self.now, sender);
                 }
-                Message::PermitCall(ask) => {
-                    let answer = self.grant(to, &ask);
+                Message::PermitCall(permit_call) => {
+                    let answer = self.grant(to, &permit_call);
                     self.send(to, from, answer);
                 }
                 answer => self.take(to, answer),
@@ -259,7 +260,7 @@
     fn restart(&mut self, node: usize, down: Duration) {
         let up = self.now + down;
         let state = &mut self.nodes[node];
-        (state.holder, state.issuer, state.down_until) = (PermitClient::default(), PermitIssuer::new(up, MARGIN), up);
+        (state.client, state.issuer, state.down_until) = (PermitClient::default(), PermitIssuer::new(up, MARGIN), up);
     }
 
     /// Most requests that ran in a window, as a share of what is allowed.
@@ -280,19 +281,19 @@
     }
 }
 
-fn play(seed: u64, nodes: usize, tenants: usize, load: f64, trouble: Trouble) -> Schedule {
-    let mut schedule = Schedule::new(seed, nodes, tenants, load, trouble);
+fn play(seed: u64, nodes: usize, tenants: usize, load: f64, faults: Faults) -> Schedule {
+    let mut schedule = Schedule::new(seed, nodes, tenants, load, faults);
     schedule.run(Duration::from_secs(3));
     schedule.opened = true;
     schedule.run(Duration::from_secs(4));
-    let cut = (trouble.cut * nodes as f64) as usize;
+    let cut = (faults.cut * nodes as f64) as usize;
     for _ in 0..cut {
         let node = schedule.random.random_range(0..nodes);
         schedule.nodes[node].cut = true;
     }
     for second in 0..5 {
-        if trouble.restarts {
-            schedule.restart(second % HOMES, Duration::from_millis(700));
+        if faults.restarts {
+            schedule.restart(second % COORDINATORS, Duration::from_millis(700));
         }
         schedule.run(Duration::from_secs(1));
     }
@@ -309,7 +310,7 @@
 #[test]
 fn calm_tenants_below_their_limit_are_never_refused() {
     for seed in 0..3 {
-        let schedule = play(seed, 60, 72, 0.62, Trouble { lost: 0.002, ..Trouble::default() });
+        let schedule = play(seed, 60, 72, 0.62, Faults { lost: 0.002, ..Faults::default() });
         let refused: usize = schedule.outcomes.iter().map(|outcome| outcome.refused).sum();
         let ran: usize = schedule.outcomes.iter().map(|outcome| outcome.ran.len()).sum();
         assert!(refused * 1000 < ran, "seed {seed}: {refused} of {ran} refused");
@@ -319,12 +320,12 @@
 #[test]
 fn a_tenant_at_its_limit_gets_nearly_all_of_it() {
     for seed in 0..3 {
-        let schedule = play(seed, 60, 72, 3.0, Trouble::default());
+        let schedule = play(seed, 60, 72, 3.0, Faults::default());
         for (number, tenant) in schedule.tenants.iter().enumerate() {
             let ran = schedule.outcomes[number].ran.len() as f64;
             // The burst is not owed in whole so soon after a start.
-            let owed = tenant.limit.per_second * 13.0;
-            assert!(ran > 0.97 * owed, "seed {seed}, tenant {number}: {ran} of {owed}");
+            let expected = tenant.limit.per_second * 13.0;
+            assert!(ran > 0.97 * expected, "seed {seed}, tenant {number}: {ran} of {expected}");
         }
     }
 }
@@ -332,29 +333,29 @@
 #[test]
 fn no_window_holds_more_than_the_limit_allows() {
     let troubles = [
-        Trouble::default(),
-        Trouble { lost: 0.05, late: 0.1, ..Trouble::default() },
-        Trouble { restarts: true, lost: 0.01, ..Trouble::default() },
-        Trouble { cut: 0.35, lost: 0.01, ..Trouble::default() },
-        Trouble { cut: 0.35, restarts: true, lost: 0.05, late: 0.1, ..Trouble::default() },
+        Faults::default(),
+        Faults { lost: 0.05, late: 0.1, ..Faults::default() },
+        Faults { restarts: true, lost: 0.01, ..Faults::default() },
+        Faults { cut: 0.35, lost: 0.01, ..Faults::default() },
+        Faults { cut: 0.35, restarts: true, lost: 0.05, late: 0.1, ..Faults::default() },
     ];
-    for trouble in troubles {
+    for faults in troubles {
         for seed in 0..6 {
-            let share = worst(&play(seed, 60, 30, 4.0, trouble));
-            assert!(share <= 1.0, "seed {seed}, {trouble:?}: {share}");
+            let share = worst(&play(seed, 60, 30, 4.0, faults));
+            assert!(share <= 1.0, "seed {seed}, {faults:?}: {share}");
         }
     }
 }
 
 #[test]
-fn the_schedule_catches_homes_that_grant_at_once() {
-    let trouble = Trouble { grants_blindly: true, lost: 0.2, restarts: true, ..Trouble::default() };
-    let share = (0..4).map(|seed| worst(&play(seed, 60, 30, 6.0, trouble))).fold(0.0, f64::max);
+fn the_schedule_detects_concurrent_grants() {
+    let faults = Faults { grants_blindly: true, lost: 0.2, restarts: true, ..Faults::default() };
+    let share = (0..4).map(|seed| worst(&play(seed, 60, 30, 6.0, faults))).fold(0.0, f64::max);
     assert!(share > 1.0, "{share}");
 }
 
 #[test]
-fn what_a_home_keeps_grows_with_the_tenants_that_ask_only() {
+fn buckets_exist_only_for_tenants_that_request_permits() {
     let now = Instant::from_micros(60_000_000);
     let mut issuer = PermitIssuer::new(now, MARGIN);
     let limit = RateLimit { per_second: 10.0, burst: 10.0 };
@@ -382,7 +383,7 @@
 }
 
 #[test]
-fn come_back_times_spread_the_callers() {
+fn retry_after_values_spread_the_callers() {
     let now = Instant::from_micros(60_000_000);
     let mut issuer = PermitIssuer::new(now, MARGIN);
     let limit = RateLimit { per_second: 10.0, burst: 10.0 };
--- a/crates/core/tests/start_lease.rs
+++ b/crates/core/tests/start_lease.rs
@@ -6,7 +6,7 @@
 use rand::{Rng, SeedableRng};
 use std::time::Duration;
 
-const END_IN_FORCE: Duration = Duration::from_secs(3);
+const CANCEL_DEADLINE: Duration = Duration::from_secs(3);
 
 fn at(milliseconds: u64) -> Instant {
     Instant::from_micros(100_000_000) + Duration::from_millis(milliseconds)
@@ -14,13 +14,13 @@
 
 #[test]
 fn nothing_starts_before_the_job_was_known_to_be_open() {
-    let lease = StartLease::new(END_IN_FORCE);
+    let lease = StartLease::new(CANCEL_DEADLINE);
     assert!(!lease.allows(at(0)) && lease.is_due(at(0)));
 }
 
 #[test]
 fn it_runs_out_unless_it_is_renewed() {
-    let mut lease = StartLease::new(END_IN_FORCE);
+    let mut lease = StartLease::new(CANCEL_DEADLINE);
     lease.note_open(at(0));
     assert!(lease.allows(at(2_499)) && !lease.allows(at(2_500)));
     assert!(!lease.is_due(at(1_499)) && lease.is_due(at(1_500)));
@@ -44,7 +44,7 @@
 fn no_item_is_at_a_server_after_the_end_is_in_force() {
     for seed in 0..200 {
         let mut random = SmallRng::seed_from_u64(seed);
-        let mut lease = StartLease::new(END_IN_FORCE);
+        let mut lease = StartLease::new(CANCEL_DEADLINE);
         let ended_at = random.random_range(0..5_000);
         let mut started = 0;
         for now in (0..20_000).step_by(10) {
--- a/crates/core/tests/startup_hold.rs
+++ b/crates/core/tests/startup_hold.rs
@@ -28,12 +28,12 @@
     pause: Duration,
     arrivals: u32,
     left: Option<Duration>,
-    known_at: Option<Duration>,
+    ready_at: Option<Duration>,
 }
 
 impl Start {
     fn knowledge(&self, now: Duration) -> StartupState {
-        if self.known_at.is_some_and(|known_at| known_at <= now) {
+        if self.ready_at.is_some_and(|ready_at| ready_at <= now) {
             ENOUGH
         } else {
             NOTHING
@@ -84,14 +84,14 @@
 /// Whatever callers say that they wait, and whenever the node learns enough before the
 /// first of them has a tenth of its time left: all of them are served.
 #[test]
-fn nobody_is_refused_who_can_still_be_served() {
+fn requests_are_served_if_the_node_is_ready_in_time() {
     for left in [1000, 2000, 5000, 20_000] {
-        for known_at in [1, left / 4, left / 2, left * 9 / 10 - 1] {
+        for ready_at in [1, left / 4, left / 2, left * 9 / 10 - 1] {
             let start =
-                Start { pause: ms(left) / 40, arrivals: 40, left: Some(ms(left)), known_at: Some(ms(known_at)) };
+                Start { pause: ms(left) / 40, arrivals: 40, left: Some(ms(left)), ready_at: Some(ms(ready_at)) };
             let outcomes = start.play();
-            assert_eq!((outcomes.served, outcomes.refused), (40, 0), "{left} {known_at}: {outcomes:?}");
-            assert_eq!(outcomes.served_too_late, 0, "{left} {known_at}");
+            assert_eq!((outcomes.served, outcomes.refused), (40, 0), "{left} {ready_at}: {outcomes:?}");
+            assert_eq!(outcomes.served_too_late, 0, "{left} {ready_at}");
         }
     }
 }
@@ -101,7 +101,7 @@
 #[test]
 fn requests_are_held_for_as_long_as_their_callers_stay() {
     for left in [1000, 2000, 5000, 20_000] {
-        let start = Start { pause: ms(20), arrivals: 100, left: Some(ms(left)), known_at: None };
+        let start = Start { pause: ms(20), arrivals: 100, left: Some(ms(left)), ready_at: None };
         let outcomes = start.play();
         assert_eq!((outcomes.served, outcomes.refused), (0, 100), "{left}");
         assert!(outcomes.longest_held < ms(left) && outcomes.longest_held > ms(left) / 2, "{left}: {outcomes:?}");
@@ -111,12 +111,12 @@
 /// Nine tenths of what a caller says, 0.8 s for callers who say nothing, and half a minute
 /// for one who would wait for a day.
 #[test]
-fn nobody_is_held_for_ever() {
+fn hold_time_is_bounded() {
     let held_for = |left| StartupHold::default().arrive(&NOTHING, left);
     assert_eq!(held_for(Some(ms(5000))), Arrival::Hold(ms(4500)));
     assert_eq!(held_for(Some(Duration::ZERO)), Arrival::Hold(Duration::ZERO));
     assert_eq!(held_for(None), Arrival::Hold(ms(800)));
-    let patient = Start { pause: ms(20), arrivals: 1, left: Some(Duration::from_secs(86_400)), known_at: None };
+    let patient = Start { pause: ms(20), arrivals: 1, left: Some(Duration::from_secs(86_400)), ready_at: None };
     assert!(patient.play().longest_held <= Duration::from_secs(30));
 }
 
@@ -124,12 +124,12 @@
 /// and there is room again when those that are held go on.
 #[test]
 fn memory_is_bounded() {
-    let crowd = 10 * StartupHold::LIMIT;
+    let requests = 10 * StartupHold::LIMIT;
     let together =
-        Start { pause: Duration::ZERO, arrivals: crowd as u32, left: Some(ms(1000)), known_at: Some(ms(500)) };
+        Start { pause: Duration::ZERO, arrivals: requests as u32, left: Some(ms(1000)), ready_at: Some(ms(500)) };
     let outcomes = together.play();
     assert_eq!(outcomes.most_held, StartupHold::LIMIT);
-    assert_eq!((outcomes.served, outcomes.refused), (StartupHold::LIMIT, crowd - StartupHold::LIMIT));
+    assert_eq!((outcomes.served, outcomes.refused), (StartupHold::LIMIT, requests - StartupHold::LIMIT));
     let mut holding = StartupHold::default();
     while holding.arrive(&NOTHING, None) != Arrival::Proceed {}
     holding.leave();
@@ -138,28 +138,28 @@
 
 /// The store has told that there is no table: no request is held for one, until there is.
 #[test]
-fn nobody_waits_for_a_table_that_there_is_not() {
-    let mut known = NOTHING;
-    assert!(known.waits());
-    known.note_table_received();
-    assert_eq!(known.table, TableState::Absent);
-    assert_eq!(StartupHold::default().arrive(&known, Some(ms(5000))), Arrival::Proceed);
-    assert_eq!(known.refusal(false), Some(ResultCode::NotReady));
-    known.table = TableState::InForce;
-    assert!(known.waits(), "the servers are not known yet");
+fn requests_are_not_held_for_an_absent_table() {
+    let mut state = NOTHING;
+    assert!(state.waits());
+    state.note_table_received();
+    assert_eq!(state.table, TableState::Absent);
+    assert_eq!(StartupHold::default().arrive(&state, Some(ms(5000))), Arrival::Proceed);
+    assert_eq!(state.refusal(false), Some(ResultCode::NotReady));
+    state.table = TableState::InForce;
+    assert!(state.waits(), "the servers are not known yet");
     // That all is told again changes nothing.
-    known.note_table_received();
-    assert_eq!(known.table, TableState::InForce);
-    known.servers = true;
-    assert_eq!((known.waits(), known.refusal(true)), (false, None));
+    state.note_table_received();
+    assert_eq!(state.table, TableState::InForce);
+    state.servers = true;
+    assert_eq!((state.waits(), state.refusal(true)), (false, None));
 }
 
 #[test]
 fn nobody_is_held_at_a_node_that_leaves() {
     for table in [TableState::Unknown, TableState::Absent, TableState::InForce] {
-        let known = StartupState { table, servers: false, leaving: true };
-        assert_eq!(StartupHold::default().arrive(&known, Some(ms(5000))), Arrival::Proceed);
-        assert_eq!(known.refusal(true), Some(ResultCode::Leaving));
+        let state = StartupState { table, servers: false, leaving: true };
+        assert_eq!(StartupHold::default().arrive(&state, Some(ms(5000))), Arrival::Proceed);
+        assert_eq!(state.refusal(true), Some(ResultCode::Leaving));
     }
     let serves = StartupState { leaving: true, ..ENOUGH };
     assert_eq!(serves.refusal(true), None, "it serves until it is gone");
--- a/crates/core/tests/startup_pacing.rs
+++ b/crates/core/tests/startup_pacing.rs
@@ -13,12 +13,12 @@
     "service".into()
 }
 
-fn request(received: u64, timely_until: u64) -> PacedRequest {
-    PacedRequest { received: at(received), timely_until: at(timely_until), until: at(received + 5000) }
+fn request(received: u64, send_deadline: u64) -> PacedRequest {
+    PacedRequest { received: at(received), send_deadline: at(send_deadline), until: at(received + 5000) }
 }
 
-fn waits(turn: PacingDecision) -> u64 {
-    match turn {
+fn waits(decision: PacingDecision) -> u64 {
+    match decision {
         PacingDecision::Wait(number) => number,
         PacingDecision::Send => panic!("it goes at once"),
     }
@@ -30,10 +30,10 @@
     pacing.begin(at(0));
     pacing.set_nodes(4);
     // 8 slots, and what this node runs itself is not free any more.
-    let turns: Vec<PacingDecision> =
-        (0..5_u8).map(|sent| pacing.ask(at(0), &service(), 8.0 - f64::from(sent.min(2)), request(0, 300))).collect();
-    assert_eq!(turns.iter().filter(|turn| **turn == PacingDecision::Send).count(), 2);
-    let first = waits(turns[2]);
+    let decisions: Vec<PacingDecision> =
+        (0..5_u8).map(|sent| pacing.submit(at(0), &service(), 8.0 - f64::from(sent.min(2)), request(0, 300))).collect();
+    assert_eq!(decisions.iter().filter(|decision| **decision == PacingDecision::Send).count(), 2);
+    let first = waits(decisions[2]);
     assert_eq!(pacing.next(at(10), "service", 6.0), None);
     pacing.note_end("service");
     assert_eq!(pacing.next(at(10), "service", 7.0), Some(first));
@@ -45,19 +45,19 @@
     let mut pacing = StartupPacer::default();
     pacing.begin(at(0));
     pacing.set_nodes(100);
-    assert_eq!(pacing.ask(at(0), &service(), 0.0, request(0, 300)), PacingDecision::Send);
-    waits(pacing.ask(at(0), &service(), 0.0, request(0, 300)));
+    assert_eq!(pacing.submit(at(0), &service(), 0.0, request(0, 300)), PacingDecision::Send);
+    waits(pacing.submit(at(0), &service(), 0.0, request(0, 300)));
 }
 
 #[test]
-fn what_can_be_in_time_goes_first_and_who_has_left_not_at_all() {
+fn timely_requests_go_first_and_expired_ones_are_skipped() {
     let mut pacing = StartupPacer::default();
     pacing.begin(at(1000));
-    assert_eq!(pacing.ask(at(1000), &service(), 0.0, request(1000, 1300)), PacingDecision::Send);
-    let late = waits(pacing.ask(at(1000), &service(), 0.0, request(0, 300)));
-    let gone = waits(pacing.ask(at(1000), &service(), 0.0, request(900, 1200)));
-    let later = waits(pacing.ask(at(1000), &service(), 0.0, request(990, 1290)));
-    let sooner = waits(pacing.ask(at(1000), &service(), 0.0, request(950, 1250)));
+    assert_eq!(pacing.submit(at(1000), &service(), 0.0, request(1000, 1300)), PacingDecision::Send);
+    let late = waits(pacing.submit(at(1000), &service(), 0.0, request(0, 300)));
+    let gone = waits(pacing.submit(at(1000), &service(), 0.0, request(900, 1200)));
+    let later = waits(pacing.submit(at(1000), &service(), 0.0, request(990, 1290)));
+    let sooner = waits(pacing.submit(at(1000), &service(), 0.0, request(950, 1250)));
     pacing.forget("service", gone);
     let mut order = Vec::new();
     while let Some(number) = pacing.next(at(1010), "service", 10.0) {
@@ -70,9 +70,9 @@
 fn all_go_once_it_ends() {
     let mut pacing = StartupPacer::default();
     pacing.begin(at(1000));
-    assert_eq!(pacing.ask(at(1000), &service(), 0.0, request(1000, 1300)), PacingDecision::Send);
-    let late = waits(pacing.ask(at(1000), &service(), 0.0, request(0, 300)));
-    let timely = waits(pacing.ask(at(1000), &service(), 0.0, request(1000, 1300)));
+    assert_eq!(pacing.submit(at(1000), &service(), 0.0, request(1000, 1300)), PacingDecision::Send);
+    let late = waits(pacing.submit(at(1000), &service(), 0.0, request(0, 300)));
+    let timely = waits(pacing.submit(at(1000), &service(), 0.0, request(1000, 1300)));
     assert!(pacing.ends(at(1001)).is_some());
     assert_eq!(pacing.finish(at(1001)), [timely, late]);
     assert_eq!(pacing.ends(at(1001)), None);
@@ -163,7 +163,7 @@
             let Node { pacing, waiting, running } = &mut nodes[node];
             let free = (SLOTS - *running) as f64;
             let paced_request = request(received, received + TARGET_MS);
-            match paced.then(|| pacing.ask(at(now), &service(), free, paced_request)) {
+            match paced.then(|| pacing.submit(at(now), &service(), free, paced_request)) {
                 Some(PacingDecision::Wait(number)) => waiting.push((number, received)),
                 Some(PacingDecision::Send) | None => {
                     *running += 1;
@@ -189,7 +189,7 @@
 /// for one request in each round at each node, which comes as its slots are filled and waits
 /// for the whole of their work.
 #[test]
-fn all_that_can_be_in_time_are_where_the_return_is_paced() {
+fn pacing_serves_every_request_that_can_be_in_time() {
     let at_the_edge = NODES * ROUNDS as usize;
     let can_be = can_be_in_time();
     let (in_time, served) = play(true);
@@ -202,12 +202,12 @@
 
 /// Room may come about without the end of a request: servers become known, or other nodes go.
 #[test]
-fn a_request_that_waits_gets_its_turn_where_a_later_one_finds_room() {
+fn a_waiting_request_goes_before_a_later_one() {
     let mut pacing = StartupPacer::default();
     pacing.begin(at(0));
-    assert_eq!(pacing.ask(at(0), &service(), 0.0, request(0, 300)), PacingDecision::Send);
-    let first = waits(pacing.ask(at(1), &service(), 0.0, request(1, 301)));
-    let second = waits(pacing.ask(at(2), &service(), 3.0, request(2, 302)));
+    assert_eq!(pacing.submit(at(0), &service(), 0.0, request(0, 300)), PacingDecision::Send);
+    let first = waits(pacing.submit(at(1), &service(), 0.0, request(1, 301)));
+    let second = waits(pacing.submit(at(2), &service(), 3.0, request(2, 302)));
     assert_eq!(pacing.next(at(2), "service", 3.0), Some(first));
     assert_eq!(pacing.next(at(2), "service", 2.0), Some(second));
 }
--- a/crates/core/tests/startup_snapshot.rs
+++ b/crates/core/tests/startup_snapshot.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn the_newest_revision_counts_and_never_more_than_what_was_told() {
+fn only_newer_revisions_replace_and_never_received_records() {
     assert!(replaces(RecordState::Nothing, 7, NOW, NOW));
     assert!(replaces(RecordState::Stored(6), 7, NOW, NOW));
     assert!(!replaces(RecordState::Stored(7), 7, NOW, NOW));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn what_is_too_old_is_not_believed() {
+fn snapshots_that_are_too_old_are_not_used() {
     let oldest = WallTime(NOW.0 - MAX_SNAPSHOT_AGE.as_millis() as u64);
     assert!(replaces(RecordState::Nothing, 7, oldest, NOW));
     assert!(!replaces(RecordState::Nothing, 7, WallTime(oldest.0 - 1), NOW));
@@ -43,8 +43,8 @@
     assert!(!snapshots.may_use_snapshots(at(9000), answered));
     let long_ago = StoreReachability { own_age: Some(Duration::from_secs(4)), upstream_reaches_store: false };
     assert!(snapshots.may_use_snapshots(at(9000), long_ago));
-    let told = StoreReachability { own_age: None, upstream_reaches_store: true };
-    assert!(!snapshots.may_use_snapshots(at(9000), told), "it answers others");
+    let upstream_reached = StoreReachability { own_age: None, upstream_reaches_store: true };
+    assert!(!snapshots.may_use_snapshots(at(9000), upstream_reached), "it answers others");
 }
 
 /// 150 nodes that kept records poll a node that starts, each ten times a second: it calls
@@ -70,7 +70,7 @@
 
 /// A node that is restarted in a long outage serves by what its neighbours serve by.
 #[test]
-fn what_a_running_node_knows_is_believed_however_old_it_is() {
+fn records_of_a_running_node_are_used_at_any_age() {
     assert!(is_newer_revision(RecordState::Nothing, 7));
     assert!(is_newer_revision(RecordState::Stored(6), 7));
     assert!(!is_newer_revision(RecordState::Stored(7), 7));
--- a/crates/core/tests/store_outage.rs
+++ b/crates/core/tests/store_outage.rs
@@ -1,7 +1,7 @@
 //! 300 nodes, three of them upstreams, through outages of the record store, cut
 //! upstreams and lost polls: what they call, and when they know of its return.
 
-use latchwheel_core::circuit_breaker::{CircuitBreaker, ProbePolicy, MAX_SHARED_PAUSE};
+use latchwheel_core::circuit_breaker::{CircuitBreaker, ProbePolicy, MAX_SHARED_PROBE_INTERVAL};
 use latchwheel_core::record_source::{PollCondition, RecordSource, SourceSelector, UpstreamState};
 use latchwheel_core::time::Instant;
 use rand::rngs::StdRng;
@@ -204,7 +204,7 @@
 /// Calls that all nodes may make in an outage: each of them one as it begins, and
 /// its probes.
 fn most_calls(outage: Duration) -> usize {
-    let probes = outage.as_secs_f64() / (MAX_SHARED_PAUSE.as_secs_f64() * 0.75) + 1.0;
+    let probes = outage.as_secs_f64() / (MAX_SHARED_PROBE_INTERVAL.as_secs_f64() * 0.75) + 1.0;
     (NODES as f64 * probes) as usize
 }
 
@@ -245,7 +245,7 @@
 
 /// Time in which each node finds out by itself.
 fn own_bound() -> Duration {
-    MAX_SHARED_PAUSE.mul_f64(1.25) + Duration::from_millis(100)
+    MAX_SHARED_PROBE_INTERVAL.mul_f64(1.25) + Duration::from_millis(100)
 }
 
 /// No upstream is needed: each node finds out by itself within its bound.
--- a/crates/proxy/src/permits.rs
+++ b/crates/proxy/src/permits.rs
@@ -64,7 +64,7 @@
             let mut state = self.lock();
             let now = self.clock.now();
             if state.holder.take(now, tenant) {
-                if state.holder.is_short(now, tenant.key) {
+                if state.holder.should_call(now, tenant.key) {
                     self.wanted.notify_one();
                 }
                 return Ok(());
@@ -83,7 +83,7 @@
     /// A request that had a permit was not sent to any server.
     pub fn give_back(&self, tenant: &Tenant) {
         if tenant.limit.is_limited() {
-            self.lock().holder.give_back(self.clock.now(), tenant.key);
+            self.lock().holder.return_permit(self.clock.now(), tenant.key);
         }
     }
 
@@ -91,7 +91,7 @@
     pub(crate) fn note_heard(&self, node: NodeId, nodes: usize) {
         let now = self.clock.now();
         let mut state = self.lock();
-        state.home.note_heard(now, node);
+        state.home.note_contact(now, node);
         state.tick_home(now, nodes);
     }
 
@@ -202,7 +202,7 @@
         for _ in 0..answered.go {
             let gone = waiters.pop_front().is_none_or(|waiter| waiter.send(Ok(())).is_err());
             if gone {
-                self.holder.give_back(now, tenant);
+                self.holder.return_permit(now, tenant);
             }
         }
         for _ in 0..answered.refused {
--- a/crates/proxy/src/place.rs
+++ b/crates/proxy/src/place.rs
@@ -126,8 +126,8 @@
     /// Waits for the request's turn where requests are paced after a start.
     async fn await_start_turn(&mut self) {
         if self.start_turn.is_none() {
-            let timely_until = self.received + self.route.latency_target;
-            let paced = PacedRequest { received: self.received, timely_until, until: self.until };
+            let send_deadline = self.received + self.route.latency_target;
+            let paced = PacedRequest { received: self.received, send_deadline, until: self.until };
             self.start_turn = self.shared.start_turn(&self.service, paced).await;
         }
     }
--- a/crates/proxy/src/start_pacing.rs
+++ b/crates/proxy/src/start_pacing.rs
@@ -116,7 +116,7 @@
         let free_slots = self.free_slots_of(service);
         let (number, turn) = {
             let mut state = turns.lock();
-            let PacingDecision::Wait(number) = state.pacing.ask(now, service, free_slots, request) else {
+            let PacingDecision::Wait(number) = state.pacing.submit(now, service, free_slots, request) else {
                 drop(state);
                 return Some(StartTurn { shared: self.clone(), service: service.clone() });
             };
--- a/crates/records/tests/follow.rs
+++ b/crates/records/tests/follow.rs
@@ -1,7 +1,7 @@
 //! Following a prefix through outages and lost history.
 
 use bytes::Bytes;
-use latchwheel_core::circuit_breaker::{ProbePolicy, MAX_SHARED_PAUSE};
+use latchwheel_core::circuit_breaker::{ProbePolicy, MAX_SHARED_PROBE_INTERVAL};
 use latchwheel_core::record_source::RecordSource;
 use latchwheel_records::memory::MemoryStore;
 use latchwheel_records::{
@@ -258,7 +258,7 @@
     until(|| node.source() == RecordSource::Store).await;
     let before = store.calls();
     until(|| store.calls() >= before + 12).await;
-    let most = outage.elapsed().as_secs_f64() / MAX_SHARED_PAUSE.mul_f64(0.75).as_secs_f64() + 1.0;
+    let most = outage.elapsed().as_secs_f64() / MAX_SHARED_PROBE_INTERVAL.mul_f64(0.75).as_secs_f64() + 1.0;
     assert!(own_view.calls() as f64 <= most, "{} calls, {most} are allowed", own_view.calls());
 
     store.set_fault(None);
