--- a/crates/core/src/permits/client.rs
+++ b/crates/core/src/permits/client.rs
@@ -1,4 +1,4 @@
-//! A node that has requests of tenants: it asks their homes for permits.
+//! Client side: a node requests permits from the coordinators of its tenants.
 
 use super::{coordinators_of, Coordinator, PERMIT_TTL};
 use crate::identity::NodeId;
@@ -7,62 +7,61 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A call without an answer is made again after this time: a home answers within
-/// 4 ms, and datagrams may be lost.
+/// An unanswered call is sent again after this time.
 const RESEND_AFTER: Duration = Duration::from_millis(30);
-/// Homes that may send a call on to another one before it rests for that time.
+/// Redirects in a row before the client waits for [`RESEND_AFTER`].
 const REDIRECTS_BEFORE_BACKOFF: usize = 3;
-/// Calls to one home before the next one is asked.
+/// Unanswered calls to one coordinator before the next one is tried.
 const MAX_CALLS_PER_COORDINATOR: u32 = 2;
-/// A home that gave no answer is asked last for this time.
+/// An unresponsive coordinator is tried last for this time.
 const UNRESPONSIVE_TTL: Duration = Duration::from_secs(2);
-/// A request that waits for this time without an answer may use the node's own part.
+/// Waiting time after which a request may use the node's local share of the limit.
 const LOCAL_SHARE_AFTER: Duration = Duration::from_millis(150);
-/// Longest time that a request waits: a home that is away is replaced within 0.5 s.
+/// Maximum waiting time; an unreachable coordinator is replaced sooner.
 const MAX_WAIT: Duration = Duration::from_millis(700);
-/// What a request is told that waited in vain.
+/// Retry-after time of a request that got no answer.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(250);
-/// All nodes that reach no home use this part of a limit together.
+/// Share of a limit that all nodes without a coordinator may use together.
 const LOCAL_SHARE: f64 = 0.3;
-/// Time over which requests are counted to know how many come.
+/// Time constant of the request rate estimate.
 const RATE_TIME_CONSTANT_SECONDS: f64 = 0.5;
-/// Part of the permits used in their life that are asked for ahead.
+/// Permits requested ahead, as a share of those used within [`PERMIT_TTL`].
 const AHEAD_SHARE: f64 = 0.5;
-/// Tenants without a request for this time are forgotten.
+/// State of a tenant without requests is dropped after this time.
 const IDLE_TTL: Duration = Duration::from_secs(10);
 
-/// A call to a home.
+/// A call to a coordinator for permits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PermitCall {
-    /// Home that is asked.
+    /// Coordinator that receives the call.
     pub coordinator: NodeId,
-    /// Tenant.
+    /// Tenant that the permits are for.
     pub tenant: TenantKey,
-    /// Number of the call.
+    /// Call number, returned with the answer.
     pub number: u64,
-    /// Requests that wait.
+    /// Waiting requests.
     pub urgent: u32,
-    /// Permits that will be needed soon.
+    /// Further permits for expected requests.
     pub ahead: u32,
 }
 
-/// What an answer means for the requests that wait for a tenant's permits.
+/// How many of a tenant's waiting requests proceed or are refused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PermitOutcome {
-    /// So many may go on, the first ones.
+    /// Number of requests that proceed, first come first.
     pub go: u32,
-    /// So many of the next ones are refused.
+    /// Number of the following requests that are refused.
     pub refused: u32,
-    /// Time after which they may come back.
+    /// Time after which the refused requests should be retried.
     pub retry_after: Duration,
 }
 
-/// What waiting means for the requests of a tenant that had no answer.
+/// Outcome for requests of a tenant whose calls got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TenantOutcome {
-    /// Tenant.
+    /// Tenant that the permits are for.
     pub tenant: TenantKey,
-    /// The outcome.
+    /// Requests that proceed or are refused.
     pub answered: PermitOutcome,
 }
 
@@ -72,7 +71,7 @@
     coordinator: NodeId,
     sent_at: Instant,
     urgent: u32,
-    /// Calls to this home in a row.
+    /// Consecutive unanswered calls to this coordinator.
     calls: u32,
 }
 
@@ -81,19 +80,19 @@
     limit: RateLimit,
     stock: u32,
     stock_until: Instant,
-    /// Requests a second, and when that was reckoned.
+    /// Requests per second at `at`.
     rate: f64,
     at: Instant,
-    /// Requests that wait.
+    /// Waiting requests.
     waiting: u32,
-    /// Since when none of them got an answer.
+    /// Time of the last answer, or of the first waiting request.
     waiting_since: Instant,
     call: Option<Call>,
-    /// Homes in a row that said that another one is to be asked.
+    /// Consecutive redirects to another coordinator.
     redirects: usize,
-    /// No home is asked before this time.
+    /// No call is sent before this time.
     backoff_until: Instant,
-    /// The node's own part, used where no home answers.
+    /// Tokens of the node's local share, used if no coordinator answers.
     local_tokens: f64,
     local_updated_at: Instant,
 }
@@ -133,7 +132,7 @@
         }
     }
 
-    /// Permits to hold for requests to come.
+    /// Permits to hold for expected requests.
     fn ahead(&self, now: Instant) -> u32 {
         (self.rate_now(now) * PERMIT_TTL.as_secs_f64() * AHEAD_SHARE) as u32
     }
@@ -144,11 +143,11 @@
 
     fn add_stock(&mut self, permits: u32, until: Instant, now: Instant) {
         self.stock = self.stock(now) + permits;
-        // Older ones count by the newer end: a home reckons with one life more.
+        // Older permits take the newer expiry; the bucket capacity allows for one more TTL.
         self.stock_until = until;
     }
 
-    /// Takes one of the node's own part of the limit.
+    /// Takes a token of the node's local share of the limit.
     fn take_local(&mut self, now: Instant, nodes: usize) -> bool {
         let rate = self.limit.per_second * LOCAL_SHARE / nodes.max(1) as f64;
         self.local_tokens = (self.local_tokens + now.since(self.local_updated_at).as_secs_f64() * rate).min(1.0);
@@ -161,7 +160,7 @@
     }
 }
 
-/// The permits that a node holds and asks for.
+/// Permits that a node holds, and its calls for more.
 #[derive(Debug, Default)]
 pub struct PermitClient {
     tenants: BTreeMap<TenantKey, TenantState>,
@@ -170,8 +169,7 @@
 }
 
 impl PermitClient {
-    /// A request of a tenant came: it takes a permit, or waits for one.
-    /// Gives back whether it may go on.
+    /// Takes a permit for a new request and returns true, or queues the request.
     pub fn take(&mut self, now: Instant, tenant: &Tenant) -> bool {
         let state = self.tenants.entry(tenant.key).or_insert_with(|| TenantState::new(now, tenant.limit));
         state.limit = tenant.limit;
@@ -187,12 +185,12 @@
         false
     }
 
-    /// Whether permits of a tenant are to be asked for ahead.
+    /// Whether a call for permits of the tenant is due and none is outstanding.
     pub fn should_call(&self, now: Instant, tenant: TenantKey) -> bool {
         self.tenants.get(&tenant).is_some_and(|state| state.call.is_none() && state.needs_call(now))
     }
 
-    /// A request that had a permit was not sent to any server.
+    /// Returns the permit of a request that was not sent to any server.
     pub fn return_permit(&mut self, now: Instant, tenant: TenantKey) {
         if let Some(state) = self.tenants.get_mut(&tenant) {
             let until = state.stock_until.max(now);
@@ -200,7 +198,7 @@
         }
     }
 
-    /// Calls that are to be made now. `coordinators` are all homes.
+    /// Returns the calls to send now; `coordinators` lists all coordinators.
     pub fn calls(&mut self, now: Instant, coordinators: &[Coordinator]) -> Vec<PermitCall> {
         self.tenants.retain(|_, state| state.waiting > 0 || now.since(state.at) < IDLE_TTL);
         self.unresponsive_until.retain(|_, until| now < *until);
@@ -238,15 +236,14 @@
         due_calls
     }
 
-    /// Time at which something is to be done without news; `None` if nothing waits.
+    /// Time of the next call or timeout; `None` if no request waits.
     pub fn next_due(&self) -> Option<Instant> {
         let dues = self.tenants.values().filter(|state| state.waiting > 0);
         let due = |state: &TenantState| state.call.map_or(state.waiting_since, |call| call.sent_at) + RESEND_AFTER;
         dues.map(due).min()
     }
 
-    /// A home answered the call of that number. A permit that comes too late for
-    /// its life is not used.
+    /// Handles the answer to call `number`; expired permits are dropped.
     pub fn note_grant(
         &mut self,
         now: Instant,
@@ -272,7 +269,7 @@
         PermitOutcome { go, refused, retry_after }
     }
 
-    /// A home said that another one is to be asked.
+    /// Handles a redirect: the called node does not coordinate the tenant now.
     pub fn note_not_coordinator(&mut self, now: Instant, tenant: TenantKey, number: u64) {
         let Some(state) = self.tenants.get_mut(&tenant) else { return };
         let Some(call) = state.call.filter(|call| call.number == number) else { return };
@@ -284,9 +281,9 @@
         }
     }
 
-    /// Requests that waited for too long: those for which the node's own part is
-    /// enough go on, the others are refused in the end. `nodes` is the number of
-    /// all nodes that take requests.
+    /// Resolves requests that waited too long: those within the node's local share proceed,
+    /// and the others are refused after [`MAX_WAIT`]. `nodes` is the number of nodes that
+    /// accept requests.
     pub fn overdue(&mut self, now: Instant, nodes: usize) -> Vec<TenantOutcome> {
         let mut result = Vec::new();
         for (tenant, state) in &mut self.tenants {
--- a/crates/core/src/permits/issuer.rs
+++ b/crates/core/src/permits/issuer.rs
@@ -1,4 +1,4 @@
-//! The home of tenants: it keeps their buckets and grants permits.
+//! Coordinator side: holds the buckets of tenants and grants permits.
 
 use super::LimitMargin;
 use crate::identity::{HashKeyMap, NodeId};
@@ -7,53 +7,51 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// A node counts as heard for this time: every node tells the homes of itself each
-/// 150 ms, and datagrams may be lost.
+/// A node counts as reachable for this time after its last message.
 const CONTACT_TIMEOUT: Duration = Duration::from_millis(450);
-/// A home that is not heard for this time is taken to be away. Longer than
-/// [`CONTACT_TIMEOUT`]: one that is cut off grants no more by then.
+/// A coordinator without messages for this time counts as unreachable. Longer than
+/// [`CONTACT_TIMEOUT`], so that a partitioned coordinator stops granting first.
 const COORDINATOR_TIMEOUT: Duration = Duration::from_millis(600);
-/// A process that did nothing for this time may have been replaced meanwhile.
+/// After a longer gap between ticks another coordinator may have taken over.
 const MAX_TICK_GAP: Duration = Duration::from_millis(450);
-/// Permits are granted ahead only as long as this part of a bucket is left.
+/// Share of a bucket that is reserved for waiting requests.
 const URGENT_RESERVE: f64 = 0.3;
-/// Longest time that a caller is told to wait.
+/// Maximum retry-after time.
 const MAX_RETRY_AFTER: Duration = Duration::from_secs(5);
-/// Time between two looks for buckets that are full again.
 const PRUNE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What a home answers.
+/// Answer to a call for permits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Grant {
-    /// Permits, for those that wait first.
+    /// Granted permits; waiting requests come first.
     pub granted: u32,
-    /// Time after which there is one for the first that got none.
+    /// Time after which the first refused request can expect a permit.
     pub retry_after: Duration,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     level: f64,
-    /// Requests that were told to come back and for which there was no permit yet.
+    /// Refused requests that have a retry-after time and no permit yet.
     promised: f64,
     at: Instant,
 }
 
-/// The buckets of the tenants whose home this node is.
+/// Buckets of the tenants that this node coordinates.
 #[derive(Debug)]
 pub struct PermitIssuer {
     margin: LimitMargin,
-    /// Since when it hears most nodes without a break.
+    /// Start of the current period in which this node receives messages from most nodes.
     coverage_since: Option<Instant>,
     ticked_at: Instant,
     buckets: HashMap<TenantKey, Bucket>,
-    /// When each node was heard last.
+    /// Time of the last message from each node.
     contacts: HashKeyMap<u64, Instant>,
     pruned_at: Instant,
 }
 
 impl PermitIssuer {
-    /// A home that starts `now`.
+    /// Creates an issuer that starts at `now`.
     pub fn new(now: Instant, margin: LimitMargin) -> Self {
         Self {
             margin,
@@ -65,12 +63,12 @@
         }
     }
 
-    /// Another node was heard.
+    /// Records a message from another node.
     pub fn note_contact(&mut self, now: Instant, node: NodeId) {
         self.contacts.insert(node.0, now);
     }
 
-    /// Time passes; to be told several times in [`CONTACT_TIMEOUT`]. `other_nodes` is the
+    /// Updates the coverage; call several times per [`CONTACT_TIMEOUT`]. `other_nodes` is the
     /// number of the other nodes.
     pub fn tick(&mut self, now: Instant, other_nodes: usize) {
         let paused = now.since(self.ticked_at) > MAX_TICK_GAP;
@@ -83,8 +81,8 @@
         }
     }
 
-    /// Since when this home is the one that grants, given those that come before it
-    /// for the tenant; `None` if it is not.
+    /// Time from which this node may grant permits of a tenant; `None` if it may not.
+    /// `before` lists the coordinators that precede it for the tenant.
     pub fn may_grant(&self, now: Instant, before: &[NodeId]) -> Option<Instant> {
         let since = self.coverage_since.filter(|_| now.since(self.ticked_at) <= MAX_TICK_GAP)?;
         match before.iter().filter_map(|coordinator| self.contacts.get(&coordinator.0)).max() {
@@ -94,8 +92,8 @@
         }
     }
 
-    /// Grants permits of a tenant for `urgent` requests that wait and up to `ahead`
-    /// more. This home grants since `since`; what was granted before is not known.
+    /// Grants permits of a tenant for `urgent` waiting requests and up to `ahead` more.
+    /// Grants made by other coordinators before `since` are not counted.
     pub fn grant(
         &mut self,
         now: Instant,
@@ -110,7 +108,7 @@
         let rate = limit.per_second.max(f64::MIN_POSITIVE);
         let bucket = self.buckets.entry(tenant).or_insert(Bucket { level: initial_level, promised: 0.0, at: since });
         if bucket.at < since {
-            // Another home granted in between.
+            // Another coordinator may have granted permits in between.
             *bucket = Bucket { level: initial_level, promised: 0.0, at: since };
         }
         let gained = now.since(bucket.at).as_secs_f64() * rate;
@@ -128,7 +126,7 @@
         Grant { granted: for_urgent + for_ahead, retry_after: Duration::from_secs_f64(wait.min(longest)) }
     }
 
-    /// Forgets buckets that are full again, and nodes that are not heard any more.
+    /// Drops buckets that are full again and nodes that stopped sending messages.
     fn prune(&mut self, now: Instant) {
         if now.since(self.pruned_at) < PRUNE_INTERVAL {
             return;
--- a/crates/core/src/permits/mod.rs
+++ b/crates/core/src/permits/mod.rs
@@ -1,19 +1,18 @@
-//! Rate limits of tenants over all nodes, by permits.
+//! Rate limits of tenants across all nodes, enforced with permits.
 //!
-//! A tenant's limit is one token bucket, kept by one node at a time: its *home*.
-//! Any node that has a request of the tenant asks the home for a permit, some
-//! ahead where many requests come. A permit is used by one request, within
-//! [`PERMIT_TTL`]. Few nodes are homes; rendezvous hashing orders them for each
-//! tenant, so that nothing is agreed upon and each carries an even part.
+//! The limit of a tenant is one token bucket, held by one *coordinator* at a time. A
+//! node requests a permit from it for each request of the tenant, or several ahead at a
+//! high rate; each permit serves one request within [`PERMIT_TTL`]. Rendezvous hashing
+//! orders the few coordinators for each tenant, without any agreement protocol.
 //!
 //! Invariants:
-//! - A home grants no more than its bucket holds.
-//! - A home grants only while it hears most nodes, and none of the homes that come
-//!   before it ([`PermitIssuer::may_grant`]): two homes of one tenant grant at once
-//!   only where these two can't hear each other and each hears most nodes.
-//! - What may go wrong beyond that (a home that restarts knows nothing, a permit is
-//!   used up to its life later, a node that reaches no home uses a small part of its
-//!   own) is taken from the margin that the operator allows ([`LimitMargin`]).
+//! - A coordinator grants no more than its bucket holds.
+//! - A coordinator grants only while it receives messages from most nodes and from none
+//!   of the coordinators that precede it ([`PermitIssuer::may_grant`]). Two coordinators
+//!   grant for one tenant at once only if they are cut off from each other and each still
+//!   receives messages from most nodes.
+//! - [`LimitMargin`] covers the remaining excess: restarted coordinators, permits used
+//!   late, and the local shares of nodes that reach no coordinator.
 
 mod client;
 mod issuer;
@@ -25,8 +24,8 @@
 use crate::tenants::{RateLimit, TenantKey};
 use std::time::Duration;
 
-/// Time in which a permit must be used, counted from the sending of the call that
-/// it was granted to. What is allowed in a window grows by the rate in this time.
+/// Lifetime of a permit, from the sending of the call that it answers. Late use raises the
+/// requests in a window by at most the rate times this duration.
 pub const PERMIT_TTL: Duration = Duration::from_millis(300);
 
 /// By how much a limit may be exceeded in any window.
@@ -34,9 +33,9 @@
 pub struct LimitMargin {
     /// Length of the window.
     pub window: Duration,
-    /// Share of what the limit allows in a window.
+    /// Allowed excess as a share of the limit in a window.
     pub share: f64,
-    /// Requests beside that share.
+    /// Allowed excess in requests, added to the share.
     pub requests: f64,
 }
 
@@ -46,9 +45,8 @@
     }
 }
 
-/// Parts of the margin: one for the bucket, one for each home that starts anew (up to
-/// four in a window where the homes restart in turn); the rest is for nodes that reach
-/// no home. By the seeded schedules: with 0.5 and 0.25 one in 24 broke the limit.
+/// Shares of the margin: one for the bucket, one for each coordinator that starts (up to
+/// four per window); the rest covers nodes that reach no coordinator.
 const BUCKET_SHARE: f64 = 0.4;
 const START_SHARE: f64 = 0.1;
 
@@ -59,28 +57,28 @@
         allowed * self.share + self.requests
     }
 
-    /// Permits that a bucket holds at most.
+    /// Maximum number of permits in a bucket.
     fn capacity(&self, limit: &RateLimit) -> f64 {
         let late = limit.per_second * PERMIT_TTL.as_secs_f64();
         (limit.burst + self.of(limit) * BUCKET_SHARE - late).max(1.0)
     }
 
-    /// Permits that a home has which knows nothing of those granted before.
+    /// Permits of a coordinator that has no record of earlier grants.
     fn initial_level(&self, limit: &RateLimit) -> f64 {
         (self.of(limit) * START_SHARE).min(self.capacity(limit))
     }
 }
 
-/// A node that may keep limits.
+/// A node that can hold the buckets of tenants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Coordinator {
     /// The node.
     pub node: NodeId,
-    /// Whether it does so only where no other can.
+    /// Whether it serves only if no regular coordinator can.
     pub fallback: bool,
 }
 
-/// The homes of a tenant, the one that grants first.
+/// Returns the coordinators of a tenant in order of precedence.
 pub fn coordinators_of(tenant: TenantKey, coordinators: &[Coordinator]) -> Vec<NodeId> {
     let mut ordered = coordinators.to_vec();
     ordered.sort_unstable_by_key(|coordinator| {
