--- a/crates/core/src/byte_budget.rs
+++ b/crates/core/src/byte_budget.rs
@@ -1,11 +1,11 @@
-//! A bound on the bytes that a node sends in a second for one purpose.
+//! Limit on the bytes per second that a node sends for one purpose.
 //!
-//! What is sent may overdraw the budget once: nothing is sent then until as much
-//! was gained. So a message larger than a second's bytes is delayed, not lost.
+//! A message may overdraw the budget once; the next one waits until the balance is no longer
+//! negative. So a message larger than one second's bytes is delayed, not lost.
 
 use crate::time::Instant;
 
-/// Bytes that may be sent now; at most a second's worth is saved up.
+/// Token bucket of bytes that holds at most one second's worth.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ByteBudget {
     bytes_per_second: f64,
@@ -14,12 +14,12 @@
 }
 
 impl ByteBudget {
-    /// A budget that is full at `now`.
+    /// Creates a budget that is full at `now`.
     pub fn new(bytes_per_second: f64, now: Instant) -> Self {
         Self { bytes_per_second, left: bytes_per_second, updated_at: now }
     }
 
-    /// Whether something may be sent now.
+    /// Whether a message may be sent now.
     pub fn allows(&mut self, now: Instant) -> bool {
         let gained = now.since(self.updated_at).as_secs_f64() * self.bytes_per_second;
         self.updated_at = now;
@@ -27,7 +27,7 @@
         self.left >= 0.0
     }
 
-    /// So many bytes were sent.
+    /// Deducts the bytes of a sent message.
     pub fn spend(&mut self, bytes: usize) {
         self.left -= bytes as f64;
     }
--- a/crates/core/src/circuit_breaker.rs
+++ b/crates/core/src/circuit_breaker.rs
@@ -1,55 +1,48 @@
-//! When a node may call the record store, and when it may only probe it.
+//! Circuit breaker for calls to the record store.
 //!
-//! While the store is away every call to it is wasted, and many nodes that ask
-//! again and again load it just when it returns. The breaker of a node opens
-//! when its own calls have failed for a while, or when an upstream tells that
-//! its calls do. While it is open, calls are refused without being sent, but
-//! for a probe now and then. An answer closes it.
+//! While the store is unreachable, calls are wasted, and retries of many nodes would
+//! overload it when it returns. The breaker of a node opens when its own calls have failed
+//! for a while, or when an upstream reports that its calls fail. An open breaker refuses
+//! calls except for occasional probes; an answer closes it.
 //!
-//! Invariant: while nobody is known to have an answer, all nodes together probe
-//! about as often as [`ProbePolicy::calls_per_second`] allows, but each node at
-//! least once in [`MAX_SHARED_PROBE_INTERVAL`], so that none depends on another.
+//! Invariant: while no node is known to get answers, all nodes together probe about as often
+//! as [`ProbePolicy::calls_per_second`] allows, but each node at least once per
+//! [`MAX_SHARED_PROBE_INTERVAL`], so that none depends on another.
 
 use crate::retry::exponential_backoff;
 use crate::time::Instant;
 use std::time::Duration;
 
-/// Calls that fail for less long are waiting calls that were cut; the breaker
-/// stays closed.
+/// Minimum duration of failures that opens the breaker; shorter ones may be interrupted long
+/// polls.
 pub const FAILURE_TIME: Duration = Duration::from_millis(200);
-/// Failures in a row that open it at least: the answer to a single call may be
-/// lost while the store is there.
+/// Minimum number of consecutive failures that opens the breaker; a single answer may be lost.
 const MIN_FAILURES: u32 = 2;
-/// Time between two probes of a node that others rely on, and the shortest one
-/// of any other.
+/// Probe interval of a node that others rely on, and the minimum for all others.
 const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(250);
-/// Longest time between two probes of a node that is turned away while others
-/// have answers: it must be back in touch well within the bounds on
-/// configuration (2 s and more).
+/// Maximum probe interval of a node that gets no answers while others do.
 const MAX_OWN_PROBE_INTERVAL: Duration = Duration::from_millis(1600);
-/// Longest time between two probes of a node that hears of no answer: with
-/// [`SPREAD`] it is back in touch within four seconds of the store's return,
-/// also where no upstream is left to tell of it. The strictest bound on news is
-/// three seconds of contact and two for the change itself.
+/// Maximum probe interval while no other node reports answers; with [`SPREAD`] it bounds the
+/// time to notice the store's return without an upstream.
 pub const MAX_SHARED_PROBE_INTERVAL: Duration = Duration::from_secs(3);
-/// Time between two probes of a node that knows no other node yet.
+/// Probe interval of a node that has no contact with other nodes.
 const SINGLE_NODE_PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Probes are spread over a pause by this share of it, so that nodes that
-/// failed together don't probe together.
+/// Jitter of the probe interval as a share of it, so that nodes that failed together don't
+/// probe together.
 const SPREAD: f64 = 0.5;
 
 /// How often the store is probed while it is away.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProbePolicy {
-    /// Probes that all nodes together may make in a second.
+    /// Probes per second of all nodes together.
     pub calls_per_second: f64,
-    /// Nodes that are known, this one among them.
+    /// Number of nodes, including this one.
     pub nodes: usize,
-    /// Other nodes learn of the store's return from this one.
+    /// Whether other nodes rely on this one to detect the store's return.
     pub relied_on: bool,
 }
 
-/// Whether others have answers from the store.
+/// Whether upstreams get answers from the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum UpstreamState {
     Unknown,
@@ -58,13 +51,13 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Calls are made; so many in a row have failed, since that time if any.
+    /// Calls are made; `failures` consecutive ones have failed, from `since` on.
     Closed { failures: u32, since: Instant },
     /// Calls are refused until the next probe.
     Open { next_probe: Instant, failed_probes: u32 },
 }
 
-/// Calls are made and none has failed since the last answer.
+/// The closed state after an answer.
 const ANSWERED: State = State::Closed { failures: 0, since: Instant::from_micros(0) };
 
 /// Decides which calls to the record store are made.
@@ -76,12 +69,12 @@
 }
 
 impl CircuitBreaker {
-    /// A closed one.
+    /// Creates a closed breaker.
     pub fn new(policy: ProbePolicy) -> Self {
         Self { policy, upstream: UpstreamState::Unknown, state: ANSWERED }
     }
 
-    /// So many nodes are known now, this one among them.
+    /// Sets the number of nodes, including this one.
     pub fn set_nodes(&mut self, nodes: usize) {
         self.policy.nodes = nodes;
     }
@@ -102,12 +95,12 @@
         true
     }
 
-    /// The store answered.
+    /// Records an answer of the store, which closes the breaker.
     pub fn note_answer(&mut self) {
         self.state = ANSWERED;
     }
 
-    /// A call failed that should have been answered from `due_at` on.
+    /// Records a failed call whose answer was due at `due_at`.
     pub fn note_failure(&mut self, now: Instant, due_at: Instant, draw: f64) {
         let State::Closed { failures, since } = self.state else { return };
         let since = if failures == 0 { due_at } else { since.min(due_at) };
@@ -118,7 +111,7 @@
         }
     }
 
-    /// An upstream tells that the store doesn't answer it.
+    /// Records an upstream's report that the store doesn't answer it.
     pub fn note_upstream_unreachable(&mut self, now: Instant, draw: f64) {
         self.upstream = UpstreamState::Unknown;
         if !self.is_open() {
@@ -126,8 +119,8 @@
         }
     }
 
-    /// An upstream tells that the store answers it, or another node. If that is
-    /// news, the next call is made; tells whether calls were held back until now.
+    /// Records an upstream's report that the store answers. The first such report makes a probe
+    /// due at once; returns whether that happened.
     pub fn note_upstream_answering(&mut self, now: Instant) -> bool {
         let is_new = self.upstream != UpstreamState::Answering;
         self.upstream = UpstreamState::Answering;
@@ -139,7 +132,7 @@
     }
 
     fn open(&mut self, now: Instant, draw: f64) {
-        // Any moment of the pause is as good as another for the first probe.
+        // The first probe is at a random point of the interval.
         let next_probe = now + self.probe_interval(0).mul_f64(draw.clamp(0.0, 1.0));
         self.state = State::Open { next_probe, failed_probes: 0 };
     }
@@ -159,7 +152,7 @@
     }
 }
 
-/// A pause that differs by chance but is the given one on average.
+/// Adds jitter to an interval; its average stays the same.
 fn spread(probe_interval: Duration, draw: f64) -> Duration {
     probe_interval.mul_f64(1.0 + SPREAD * (draw.clamp(0.0, 1.0) - 0.5))
 }
--- a/crates/core/src/retry.rs
+++ b/crates/core/src/retry.rs
@@ -1,32 +1,32 @@
-//! Retry budgets: retries are paid from a share of the requests, so that a
-//! failing back end is not met with a storm; and the pauses between retries.
+//! Retry budgets, which limit retries to a share of the requests so that a failing backend
+//! is not overloaded, and exponential backoff.
 
 use crate::table::RetryPolicy;
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Retries that a row may always make, before any request has paid for them.
+/// Initial retry tokens of a row.
 const INITIAL_TOKENS: f64 = 10.0;
-/// Most retries that can be saved up.
+/// Maximum number of saved retry tokens.
 const TOKEN_LIMIT: f64 = 100.0;
 
-/// Doublings after which a pause has reached any bound.
+/// Limit of the exponent, which prevents overflow.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// The pause after so many failures in a row before this one: `first`, doubled
-/// each time, `longest` at most.
+/// Backoff after `failures` earlier consecutive failures: `first`, doubled for each of them,
+/// at most `longest`.
 pub fn exponential_backoff(first: Duration, longest: Duration, failures: u32) -> Duration {
     first.saturating_mul(2_u32.pow(failures.min(MAX_DOUBLINGS))).min(longest)
 }
 
-/// The retry budgets of all rows at one node.
+/// Retry budgets of all rows at one node.
 #[derive(Debug, Default)]
 pub struct RetryBudgets {
     tokens: HashMap<String, f64>,
 }
 
 impl RetryBudgets {
-    /// A request of the row came in and pays its share.
+    /// Adds a request's share to the budget of its row.
     pub fn deposit(&mut self, row: &str, policy: &RetryPolicy) {
         let share = f64::from(policy.budget_percent) / 100.0;
         match self.tokens.get_mut(row) {
@@ -37,8 +37,7 @@
         }
     }
 
-    /// Whether attempt number `attempt` (the first is 1) may be made; takes
-    /// it from the budget if so.
+    /// Whether attempt number `attempt` (the first is 1) may be made; takes a token if so.
     pub fn withdraw(&mut self, row: &str, policy: &RetryPolicy, attempt: u32) -> bool {
         if attempt > policy.attempts || policy.budget_percent == 0 {
             return false;
--- a/crates/core/src/startup_hold.rs
+++ b/crates/core/src/startup_hold.rs
@@ -1,56 +1,52 @@
-//! Requests that come while a node knows too little to serve them: held, or refused.
+//! Holds requests that arrive at a starting node until it can serve them.
 //!
-//! The load: all nodes start together, without a table or without servers, and callers
-//! come at their usual rate. Whoever is refused asks another node that starts as well,
-//! and has used up one of its tries; whoever is held is served once the node knows
-//! enough. So a request is held for as long as its caller waits, within a bound of
-//! memory. The deadline can be read without a table.
+//! After a restart of all nodes, callers arrive at their usual rate. A refused caller
+//! would retry at another starting node and use up an attempt, so requests are held
+//! instead, within a bound on time and memory. The deadline of a request is readable
+//! without a table.
 //!
-//! Nobody is held for what waiting doesn't bring: where the store has told that there is
-//! no table, only its operator knows when there will be one; and a node that leaves gives
-//! its callers the time to ask another one.
+//! Requests are not held if waiting cannot help: if the store has no table, or if the node
+//! is draining.
 
 use crate::code::ResultCode;
 use std::time::Duration;
 
-/// Part of the time that a caller waits in which its request is held: the rest is for
-/// being served.
+/// Share of the caller's remaining time for which a request is held; the rest is for serving.
 const HOLD_SHARE: f64 = 0.9;
-/// Time for which a request without a deadline is held: whoever is told to come back
-/// later than that is no worse off.
+/// Hold time of a request without a deadline.
 const DEFAULT_HOLD: Duration = Duration::from_millis(800);
-/// Longest time for which a request is held, whatever deadline it names.
+/// Maximum hold time, whatever the deadline.
 const MAX_HOLD: Duration = Duration::from_secs(30);
-/// Memory that a held request takes: what its connection has read of it, and its task.
+/// Memory of a held request: the bytes read from its connection, and its task.
 const REQUEST_BYTES: usize = 16 << 10;
-/// Memory that all held requests may take. The smallest machines have 120 MB.
+/// Memory bound for all held requests.
 const MAX_HELD_BYTES: usize = 16 << 20;
 
-/// Time for which a request is held at most whose caller waits for `left`, if it says so.
+/// Maximum hold time of a request whose caller waits for `left`, if it has a deadline.
 fn max_hold(left: Option<Duration>) -> Duration {
     left.map_or(DEFAULT_HOLD, |left| left.mul_f64(HOLD_SHARE).min(MAX_HOLD))
 }
 
-/// What is known of the table by which requests are served.
+/// State of the table by which requests are routed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TableState {
-    /// Nothing.
+    /// Nothing received yet.
     #[default]
     Unknown,
-    /// The store has told all that there is, and there is none that can be put in force.
+    /// All records were received and hold no usable table.
     Absent,
-    /// One is in force.
+    /// A table is in force.
     InForce,
 }
 
-/// What a node knows of what it needs to serve.
+/// What a node holds of the data that it needs to serve.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StartupState {
-    /// The table.
+    /// State of the table.
     pub table: TableState,
-    /// The servers are known.
+    /// Whether the node holds the list of servers.
     pub servers: bool,
-    /// The node leaves.
+    /// Whether the node is draining.
     pub leaving: bool,
 }
 
@@ -60,20 +56,20 @@
         self.table == TableState::InForce && self.servers
     }
 
-    /// The store, or a node that it answers, has told all of the operator's records.
+    /// Records that all of the operator's records were received.
     pub fn note_table_received(&mut self) {
         if self.table == TableState::Unknown {
             self.table = TableState::Absent;
         }
     }
 
-    /// Whether requests wait for more to be known.
+    /// Whether requests are held until more data arrives.
     pub fn waits(&self) -> bool {
         !self.serves() && !self.leaving && self.table != TableState::Absent
     }
 
-    /// Why a request is refused that does not wait, or waits no longer; `None` if it goes
-    /// its usual way. A node that leaves sends nobody to wait for servers once more.
+    /// Refusal of a request that is not held, or no longer; `None` if it proceeds. At a draining
+    /// node, requests that were already held don't wait again for servers.
     pub fn refusal(&self, was_held: bool) -> Option<ResultCode> {
         let has_table = self.table == TableState::InForce;
         if has_table && (self.servers || !self.leaving || !was_held) {
@@ -83,27 +79,27 @@
     }
 }
 
-/// What becomes of a request that arrives.
+/// Decision on an arriving request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Arrival {
-    /// It is served, or refused, by what is known.
+    /// The request is served or refused at once.
     Proceed,
-    /// It is held for that time at most, and then goes on.
+    /// The request is held for at most this time, and then proceeds.
     Hold(Duration),
 }
 
-/// The requests that are held at a start.
+/// Counts the requests held during startup.
 #[derive(Debug, Default)]
 pub struct StartupHold {
     held: usize,
 }
 
 impl StartupHold {
-    /// Most requests that are held at a time.
+    /// Maximum number of held requests.
     pub const LIMIT: usize = MAX_HELD_BYTES / REQUEST_BYTES;
 
-    /// A request arrives whose caller waits for `left`, if it says so. Whoever is held is
-    /// to be told of by [`Self::leave`].
+    /// Decides on a request whose caller waits for `left`, if it has a deadline. Call
+    /// [`Self::leave`] once for each held request.
     pub fn arrive(&mut self, state: &StartupState, left: Option<Duration>) -> Arrival {
         if !state.waits() || self.held >= Self::LIMIT {
             return Arrival::Proceed;
@@ -112,12 +108,12 @@
         Arrival::Hold(max_hold(left))
     }
 
-    /// A held request goes on, is refused, or has lost its caller.
+    /// Records that a held request proceeded, was refused, or lost its caller.
     pub fn leave(&mut self) {
         self.held = self.held.saturating_sub(1);
     }
 
-    /// Requests that are held now.
+    /// Number of requests held now.
     pub fn held(&self) -> usize {
         self.held
     }
--- a/crates/core/src/startup_pacing.rs
+++ b/crates/core/src/startup_pacing.rs
@@ -1,49 +1,45 @@
-//! How fast a node sends after a start, until it knows keepers of servers.
+//! Paces the requests that a node sends after startup, until it has contact with trackers.
 //!
-//! The load: all nodes start together, each has held the requests of a second, and each
-//! believes every server empty. Sent at once they meet at the servers, and nearly all
-//! are late; those that come afterwards wait behind them. So a node sends as many of a
-//! service as its share of the slots that are free by what servers tell, those first
-//! that can be in time, and those that are late already when no other one waits.
+//! After a restart of all nodes, each has held requests and assumes that every server is
+//! empty. If all were sent at once they would queue at the servers and nearly all be late.
+//! So each node sends only its share of the free slots that servers report: first the
+//! requests that can still be in time, then late ones.
 //!
-//! Keepers place requests by what really runs at the servers, so that this ends when they
-//! are known. It ends by itself too: loads are told in the servers' answers by then.
+//! Pacing ends once trackers are available, which place requests by the actual load, or
+//! after [`MAX_PACING`].
 
 use crate::time::Instant;
 use std::collections::HashMap;
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time after which requests are sent as they come although no keeper is known: nodes that
-/// hear each other know keepers within half a second, and a node that hears nobody is
-/// better served by the loads that servers tell.
+/// Maximum duration of pacing if no tracker becomes available.
 const MAX_PACING: Duration = Duration::from_secs(2);
 
-/// A request that wants to be sent.
+/// A request that is ready to be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PacedRequest {
     /// When it was received.
     pub received: Instant,
-    /// Until when it has to be sent to be in time.
+    /// Latest time to send the request so that it is in time.
     pub send_deadline: Instant,
-    /// Until when its caller waits.
+    /// Time at which its caller stops waiting.
     pub until: Instant,
 }
 
 impl PacedRequest {
-    /// Requests go in the order of this: those that can be in time first, and of these,
-    /// as of the others, those that came first.
+    /// Sort key: requests that can be in time first, then by arrival.
     fn order(&self, now: Instant) -> (bool, Instant) {
         (self.send_deadline < now, self.received)
     }
 }
 
-/// What a request is told.
+/// Whether a request is sent now or waits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PacingDecision {
-    /// It is sent now.
+    /// The request is sent now.
     Send,
-    /// It waits for its turn under this number.
+    /// The request waits under this number.
     Wait(u64),
 }
 
@@ -54,7 +50,7 @@
 }
 
 impl Service {
-    /// The request that goes first.
+    /// Returns the next request to send whose caller still waits.
     fn first(&self, now: Instant) -> Option<u64> {
         let stay = self.waiting.iter().filter(|(_, request)| now < request.until);
         let first = stay.min_by_key(|(number, request)| (request.order(now), *number))?;
@@ -66,12 +62,12 @@
     }
 }
 
-/// The requests of a node after its start.
+/// Paces the requests of a node after startup.
 #[derive(Debug)]
 pub struct StartupPacer {
-    /// Until when requests are paced; none are before something is known.
+    /// End of pacing; `None` before it begins and after it ends.
     ends: Option<Instant>,
-    /// Nodes that send requests, this one among them.
+    /// Nodes that send requests, including this one.
     nodes: usize,
     services: HashMap<Arc<str>, Service>,
     last_number: u64,
@@ -84,23 +80,22 @@
 }
 
 impl StartupPacer {
-    /// The node knows enough to serve from now on.
+    /// Begins pacing: the node can serve from now on.
     pub fn begin(&mut self, now: Instant) {
         self.ends = Some(now + MAX_PACING);
     }
 
-    /// So many nodes send requests, this one among them.
+    /// Sets the number of nodes that send requests, including this one.
     pub fn set_nodes(&mut self, nodes: usize) {
         self.nodes = nodes.max(1);
     }
 
-    /// Until when requests are paced; `None` where they are not.
+    /// End of pacing; `None` if requests are not paced.
     pub fn ends(&self, now: Instant) -> Option<Instant> {
         self.ends.filter(|end| now < *end)
     }
 
-    /// A request wants to be sent to a service, of which all nodes together may use so
-    /// many free slots.
+    /// Submits a request to a service with `free_slots` slots free for all nodes together.
     pub fn submit(
         &mut self,
         now: Instant,
@@ -114,7 +109,7 @@
         let number = self.last_number;
         entry.waiting.push((number, request));
         let has_room = entry.running < share(free_slots, entry.running, nodes);
-        // Where another one goes first, it is given its turn by `next`.
+        // If another request goes first, `next` returns that one.
         if has_room && entry.first(now) == Some(number) {
             entry.remove(number);
             entry.running += 1;
@@ -123,7 +118,7 @@
         PacingDecision::Wait(number)
     }
 
-    /// The waiting request of a service that is sent now, if there is room for one.
+    /// Returns the waiting request that is sent now, if the node's share has a free slot.
     pub fn next(&mut self, now: Instant, service: &str, free_slots: f64) -> Option<u64> {
         let nodes = self.nodes;
         let entry = self.services.get_mut(service)?;
@@ -136,22 +131,21 @@
         Some(number)
     }
 
-    /// A request that was sent has ended.
+    /// Records the end of a request that was sent.
     pub fn note_end(&mut self, service: &str) {
         if let Some(entry) = self.services.get_mut(service) {
             entry.running = entry.running.saturating_sub(1);
         }
     }
 
-    /// A waiting request has left.
+    /// Removes a waiting request.
     pub fn forget(&mut self, service: &str, number: u64) {
         if let Some(entry) = self.services.get_mut(service) {
             entry.remove(number);
         }
     }
 
-    /// Keepers are known, or the time is over: gives back all that wait, in the order in
-    /// which they go.
+    /// Ends pacing and returns all waiting requests in sending order.
     pub fn finish(&mut self, now: Instant) -> Vec<u64> {
         self.ends = None;
         let waiting = self.services.values_mut().flat_map(|service| std::mem::take(&mut service.waiting));
@@ -161,8 +155,7 @@
     }
 }
 
-/// Requests that a node may have running: its part of what it and the others can use, and
-/// one at least.
+/// Requests that a node may have running: its share of the usable slots, at least one.
 fn share(free_slots: f64, running: usize, nodes: usize) -> usize {
     let usable = free_slots.max(0.0) + running as f64;
     ((usable / nodes as f64) as usize).max(1)
