--- a/crates/core/tests/circuit_breaker.rs
+++ b/crates/core/tests/circuit_breaker.rs
@@ -1,4 +1,4 @@
-//! Calls to a record store that is away, over all nodes.
+//! Calls of many nodes to an unreachable record store.
 
 use latchwheel_core::circuit_breaker::{CircuitBreaker, ProbePolicy, FAILURE_TIME, MAX_SHARED_PROBE_INTERVAL};
 use latchwheel_core::time::Instant;
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 const START: Instant = Instant::from_micros(60_000_000);
-/// Each node wants to call this often: it has jobs, leases and watches.
+/// Interval at which each node attempts calls.
 const CALL_INTERVAL: Duration = Duration::from_millis(50);
 const CALLS_PER_SECOND: f64 = 32.0;
 
@@ -15,8 +15,7 @@
     ProbePolicy { calls_per_second: CALLS_PER_SECOND, nodes, relied_on: false }
 }
 
-/// Calls that `nodes` nodes make in an outage of `seconds` that an upstream
-/// told them of.
+/// Calls that `nodes` nodes make in an outage of `seconds` reported by an upstream.
 fn calls_in_outage(seed: u64, nodes: usize, seconds: u64) -> usize {
     let mut random = StdRng::seed_from_u64(seed);
     let mut breakers: Vec<CircuitBreaker> = (0..nodes).map(|_| CircuitBreaker::new(policy(nodes))).collect();
@@ -45,14 +44,14 @@
             let calls = calls_in_outage(seed, nodes, 10);
             assert!(calls <= bound, "{calls} calls of {nodes} nodes, seed {seed}");
         }
-        // Beyond it every node still finds out by itself within its bound.
+        // With more nodes, each still probes within its own bound.
         let calls = calls_in_outage(seed, 300, 10);
         let each = 10.0 / MAX_SHARED_PROBE_INTERVAL.as_secs_f64() * 1.3 + 1.0;
         assert!(calls as f64 <= 300.0 * each, "{calls} calls of 300 nodes, seed {seed}");
     }
 }
 
-/// No node is silent for longer than the longest pause and its spread.
+/// Every node probes at least once per maximum interval plus jitter.
 #[test]
 fn every_node_probes_within_its_bound() {
     let mut random = StdRng::seed_from_u64(7);
@@ -75,7 +74,7 @@
 fn failures_in_a_row_open_it_and_an_answer_closes_it() {
     let mut breaker = CircuitBreaker::new(policy(10));
     breaker.note_failure(START, START, 0.5);
-    assert!(breaker.may_call(START, 0.5), "one failure may be a call that was cut");
+    assert!(breaker.may_call(START, 0.5), "one failure may be an interrupted long poll");
     breaker.note_answer();
     let later = START + FAILURE_TIME;
     breaker.note_failure(later, later, 0.5);
@@ -87,7 +86,7 @@
     assert!(breaker.may_call(later + FAILURE_TIME, 0.5));
 }
 
-/// The answer to one call may be lost; two calls that hung show an outage.
+/// A single answer may be lost; two calls without an answer indicate an outage.
 #[test]
 fn calls_that_hung_open_it() {
     let mut breaker = CircuitBreaker::new(policy(10));
@@ -97,15 +96,15 @@
     assert!(breaker.is_open());
 }
 
-/// A node that the store turns away while it answers others asks less and less
-/// often, and at once when it is told that others are answered again.
+/// A node that gets no answers while others do backs off, and probes at once after a new
+/// report that others get answers.
 #[test]
 fn a_refused_node_keeps_probing() {
     let mut breaker = CircuitBreaker::new(policy(300));
     breaker.note_upstream_unreachable(START, 0.9);
     assert!(!breaker.may_call(START, 0.5));
     breaker.note_upstream_answering(START);
-    assert!(breaker.may_call(START, 0.5), "the news is followed by a call");
+    assert!(breaker.may_call(START, 0.5), "a new report is followed by a call");
     let mut now = START;
     let mut calls = 0;
     while now.since(START) < Duration::from_secs(10) {
--- a/crates/core/tests/permits.rs
+++ b/crates/core/tests/permits.rs
@@ -1,5 +1,5 @@
-//! Limits of tenants over many nodes: seeded schedules with lost and late
-//! messages, cuts, restarts and changed limits, judged in every sliding window.
+//! Tenant limits across many nodes: seeded schedules with lost and late messages,
+//! partitions, restarts and changed limits, checked in every sliding window.
 
 use latchwheel_core::identity::NodeId;
 use latchwheel_core::permits::{
@@ -18,18 +18,18 @@
 const REPORT_EVERY: Duration = Duration::from_millis(150);
 const MARGIN: LimitMargin = LimitMargin { window: Duration::from_secs(5), share: 0.1, requests: 20.0 };
 
-/// What goes wrong in a schedule.
+/// Faults injected into a schedule.
 #[derive(Clone, Copy, Debug, Default)]
 struct Faults {
     /// Share of messages that are lost.
     lost: f64,
-    /// Share of messages that come up to 60 ms late.
+    /// Share of messages that arrive up to 60 ms late.
     late: f64,
-    /// Homes restart, each at a random moment.
+    /// Coordinators restart in turn, one per second.
     restarts: bool,
-    /// Share of nodes that reach nobody from second 4 to 9.
+    /// Share of nodes that are partitioned from second 4 to 9.
     cut: f64,
-    /// Planted fault: a home grants without hearing the others.
+    /// Planted fault: a coordinator grants without regard to the others.
     grants_blindly: bool,
 }
 
@@ -49,7 +49,7 @@
     cut: bool,
 }
 
-/// What the requests of one tenant met.
+/// Results of the requests of one tenant.
 #[derive(Clone, Debug, Default)]
 struct Outcome {
     ran: Vec<Instant>,
@@ -61,13 +61,13 @@
     now: Instant,
     nodes: Vec<Node>,
     tenants: Vec<Arc<Tenant>>,
-    /// Requests a second of each tenant at each node.
+    /// Requests per second of each tenant at each node.
     arrivals: Vec<Vec<f64>>,
     in_flight: BTreeMap<(Instant, u64), (usize, usize, Message)>,
     sent: u64,
     faults: Faults,
     outcomes: Vec<Outcome>,
-    /// Whether requests come yet: the nodes start before.
+    /// Whether requests arrive; false while the nodes start.
     opened: bool,
 }
 
@@ -77,7 +77,7 @@
 }
 
 impl Schedule {
-    /// Tenants ask `load` times their limit, at a few nodes each.
+    /// Tenants send `load` times their limit, at a few nodes each.
     fn new(seed: u64, nodes: usize, tenants: usize, load: f64, faults: Faults) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
         let now = Instant::from_micros(60_000_000);
@@ -263,7 +263,7 @@
         (state.client, state.issuer, state.down_until) = (PermitClient::default(), PermitIssuer::new(up, MARGIN), up);
     }
 
-    /// Most requests that ran in a window, as a share of what is allowed.
+    /// Largest number of requests in any window, as a share of the allowed number.
     fn worst_window(&self, number: usize, limit: RateLimit) -> f64 {
         let mut ran = self.outcomes[number].ran.clone();
         ran.sort_unstable();
@@ -323,7 +323,7 @@
         let schedule = play(seed, 60, 72, 3.0, Faults::default());
         for (number, tenant) in schedule.tenants.iter().enumerate() {
             let ran = schedule.outcomes[number].ran.len() as f64;
-            // The burst is not owed in whole so soon after a start.
+            // The full burst is not available so soon after a start.
             let expected = tenant.limit.per_second * 13.0;
             assert!(ran > 0.97 * expected, "seed {seed}, tenant {number}: {ran} of {expected}");
         }
@@ -332,14 +332,14 @@
 
 #[test]
 fn no_window_holds_more_than_the_limit_allows() {
-    let troubles = [
+    let fault_sets = [
         Faults::default(),
         Faults { lost: 0.05, late: 0.1, ..Faults::default() },
         Faults { restarts: true, lost: 0.01, ..Faults::default() },
         Faults { cut: 0.35, lost: 0.01, ..Faults::default() },
         Faults { cut: 0.35, restarts: true, lost: 0.05, late: 0.1, ..Faults::default() },
     ];
-    for faults in troubles {
+    for faults in fault_sets {
         for seed in 0..6 {
             let share = worst(&play(seed, 60, 30, 4.0, faults));
             assert!(share <= 1.0, "seed {seed}, {faults:?}: {share}");
@@ -365,7 +365,7 @@
         granted.insert(number, grant.granted);
         assert!(grant.retry_after > Duration::ZERO);
     }
-    // Burst, and four tenths of the margin of 26, less the rate in a permit's life.
+    // Burst, plus 0.4 of the margin of 26, less the rate times the permit TTL.
     assert!(granted.values().all(|granted| *granted == 17));
 }
 
--- a/crates/core/tests/start_lease.rs
+++ b/crates/core/tests/start_lease.rs
@@ -1,4 +1,4 @@
-//! The right to start items of a job, drawn schedules of what its worker hears included.
+//! Leases to start items of a job, also under random delays of job updates.
 
 use latchwheel_core::start_lease::StartLease;
 use latchwheel_core::time::Instant;
@@ -26,7 +26,7 @@
     assert!(!lease.is_due(at(1_499)) && lease.is_due(at(1_500)));
     lease.note_open(at(2_000));
     assert!(lease.allows(at(4_499)) && !lease.allows(at(4_500)));
-    // Knowledge that comes late and is older changes nothing.
+    // A late, older update changes nothing.
     lease.note_open(at(1_000));
     assert!(lease.allows(at(4_499)));
 }
@@ -38,8 +38,8 @@
     assert!(lease.allows(at(199)) && !lease.allows(at(200)));
 }
 
-/// Whatever is heard late or never: no item is at a server later than the bound after the
-/// job's end, if its way takes no more than half a second.
+/// With late or lost updates, no item reaches a server after the cancellation deadline if
+/// sending takes at most half a second.
 #[test]
 fn no_item_is_at_a_server_after_the_end_is_in_force() {
     for seed in 0..200 {
@@ -48,7 +48,7 @@
         let ended_at = random.random_range(0..5_000);
         let mut started = 0;
         for now in (0..20_000).step_by(10) {
-            // Now and then the worker learns the state of some earlier moment.
+            // Occasionally the worker receives the state of an earlier moment.
             if random.random_bool(0.02) {
                 let learned = now - random.random_range(0..=now.min(6_000));
                 if learned < ended_at {
--- a/crates/core/tests/startup_hold.rs
+++ b/crates/core/tests/startup_hold.rs
@@ -1,4 +1,4 @@
-//! Requests that come before a node knows enough.
+//! Requests that arrive before a node can serve.
 
 use latchwheel_core::code::ResultCode;
 use latchwheel_core::startup_hold::{Arrival, StartupHold, StartupState, TableState};
@@ -11,19 +11,19 @@
     Duration::from_millis(milliseconds)
 }
 
-/// How requests ended that came one after the other.
+/// Results of a series of requests.
 #[derive(Debug, Default, PartialEq, Eq)]
 struct Outcomes {
     served: usize,
-    /// Their callers had left before.
+    /// Requests whose callers had already left.
     served_too_late: usize,
     refused: usize,
-    /// The longest time for which one was held.
+    /// Longest hold time of a request.
     longest_held: Duration,
     most_held: usize,
 }
 
-/// A node that starts, and learns enough at a time, or never.
+/// A starting node that becomes ready at a given time, or never.
 struct Start {
     pause: Duration,
     arrivals: u32,
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Plays it, each millisecond; requests that are held go on at the end of their time,
-    /// or when enough is known.
+    /// Simulates the start in steps of 1 ms; held requests proceed when their hold time ends or
+    /// the node is ready.
     fn play(&self) -> Outcomes {
         let mut holding = StartupHold::default();
         let mut outcomes = Outcomes::default();
@@ -81,8 +81,8 @@
     }
 }
 
-/// Whatever callers say that they wait, and whenever the node learns enough before the
-/// first of them has a tenth of its time left: all of them are served.
+/// All requests are served if the node is ready before the first of them has a tenth of its
+/// time left.
 #[test]
 fn requests_are_served_if_the_node_is_ready_in_time() {
     for left in [1000, 2000, 5000, 20_000] {
@@ -96,8 +96,8 @@
     }
 }
 
-/// Where nothing comes, each is refused while its caller is there to hear it, and has been
-/// held for most of its time by then.
+/// If the node never becomes ready, each request is refused before its caller leaves, after
+/// most of the caller's time.
 #[test]
 fn requests_are_held_for_as_long_as_their_callers_stay() {
     for left in [1000, 2000, 5000, 20_000] {
@@ -108,20 +108,19 @@
     }
 }
 
-/// Nine tenths of what a caller says, 0.8 s for callers who say nothing, and half a minute
-/// for one who would wait for a day.
+/// Hold time: 90 % of the caller's time, 0.8 s without a deadline, at most 30 s.
 #[test]
 fn hold_time_is_bounded() {
     let held_for = |left| StartupHold::default().arrive(&NOTHING, left);
     assert_eq!(held_for(Some(ms(5000))), Arrival::Hold(ms(4500)));
     assert_eq!(held_for(Some(Duration::ZERO)), Arrival::Hold(Duration::ZERO));
     assert_eq!(held_for(None), Arrival::Hold(ms(800)));
-    let patient = Start { pause: ms(20), arrivals: 1, left: Some(Duration::from_secs(86_400)), ready_at: None };
-    assert!(patient.play().longest_held <= Duration::from_secs(30));
+    let long_wait = Start { pause: ms(20), arrivals: 1, left: Some(Duration::from_secs(86_400)), ready_at: None };
+    assert!(long_wait.play().longest_held <= Duration::from_secs(30));
 }
 
-/// Ten times as many as there is room for come together: the others are refused at once,
-/// and there is room again when those that are held go on.
+/// With ten times the capacity, the surplus is refused at once, and capacity returns when held
+/// requests proceed.
 #[test]
 fn memory_is_bounded() {
     let requests = 10 * StartupHold::LIMIT;
@@ -136,7 +135,7 @@
     assert_ne!(holding.arrive(&NOTHING, None), Arrival::Proceed);
 }
 
-/// The store has told that there is no table: no request is held for one, until there is.
+/// Requests are not held for a table that the store does not have.
 #[test]
 fn requests_are_not_held_for_an_absent_table() {
     let mut state = NOTHING;
@@ -146,8 +145,8 @@
     assert_eq!(StartupHold::default().arrive(&state, Some(ms(5000))), Arrival::Proceed);
     assert_eq!(state.refusal(false), Some(ResultCode::NotReady));
     state.table = TableState::InForce;
-    assert!(state.waits(), "the servers are not known yet");
-    // That all is told again changes nothing.
+    assert!(state.waits(), "the servers are not received yet");
+    // Receiving all records again changes nothing.
     state.note_table_received();
     assert_eq!(state.table, TableState::InForce);
     state.servers = true;
@@ -162,5 +161,5 @@
         assert_eq!(state.refusal(true), Some(ResultCode::Leaving));
     }
     let serves = StartupState { leaving: true, ..ENOUGH };
-    assert_eq!(serves.refusal(true), None, "it serves until it is gone");
+    assert_eq!(serves.refusal(true), None, "a node serves until it has left");
 }
--- a/crates/core/tests/startup_pacing.rs
+++ b/crates/core/tests/startup_pacing.rs
@@ -1,4 +1,4 @@
-//! How fast nodes send after a start, before they know keepers of servers.
+//! Pacing of requests after a start, before trackers are available.
 
 use latchwheel_core::startup_pacing::{PacedRequest, PacingDecision, StartupPacer};
 use latchwheel_core::time::Instant;
@@ -29,7 +29,7 @@
     let mut pacing = StartupPacer::default();
     pacing.begin(at(0));
     pacing.set_nodes(4);
-    // 8 slots, and what this node runs itself is not free any more.
+    // 8 slots, less those that this node already uses.
     let decisions: Vec<PacingDecision> =
         (0..5_u8).map(|sent| pacing.submit(at(0), &service(), 8.0 - f64::from(sent.min(2)), request(0, 300))).collect();
     assert_eq!(decisions.iter().filter(|decision| **decision == PacingDecision::Send).count(), 2);
@@ -81,17 +81,17 @@
     assert_eq!(by_itself.ends(at(3001)), None);
 }
 
-/// Servers that take up what was sent to them in the order in which it came.
+/// Servers that serve requests in order of arrival.
 struct Servers {
     free: usize,
-    /// When each running request ends, and the node that sent it.
+    /// End time and sending node of each running request.
     running: Vec<(u64, usize)>,
     queue: VecDeque<(u64, usize)>,
     served_in_time: usize,
     served: usize,
 }
 
-/// A node with what waits there, by number and arrival, and what it has running.
+/// A node with its waiting requests (number and arrival) and its running requests.
 #[derive(Default)]
 struct Node {
     pacing: StartupPacer,
@@ -105,22 +105,21 @@
 const TARGET_MS: u64 = 300;
 const HELD_FOR_MS: u64 = 1000;
 const END_MS: u64 = 4000;
-/// Requests of a node in that time.
+/// Requests of a node until [`END_MS`].
 const REQUESTS: u64 = 128;
-/// A slot that has become free is taken this much later.
+/// Delay before a free slot is used again.
 const STEP_MS: u64 = 1;
-/// Times at which all slots can be filled from the return on: they are all filled at first,
-/// so that they end together.
+/// Rounds in which all slots are filled together from the start on.
 const ROUNDS: u64 = (END_MS - HELD_FOR_MS).div_ceil(WORK_MS + STEP_MS);
 
-/// All requests, by when they come and the node at which they do.
+/// All requests, by arrival time and node.
 fn arrivals() -> Vec<(u64, usize)> {
     let of_node = |node: usize| (0..REQUESTS).map(move |number| (number * END_MS / REQUESTS + node as u64 % 40, node));
     (0..NODES).flat_map(of_node).collect()
 }
 
-/// Requests that can be in time: those that are not late yet when the servers are known, and
-/// those that come early enough for the last time at which slots become free.
+/// Requests that can be in time: not yet late when the servers become available, and early
+/// enough for the last round.
 fn can_be_in_time() -> usize {
     let last_round = HELD_FOR_MS + (ROUNDS - 1) * (WORK_MS + STEP_MS);
     let in_time = (HELD_FOR_MS - TARGET_MS)..=last_round;
@@ -143,9 +142,8 @@
     }
 }
 
-/// Fifty nodes have held the requests of a second, 32 each, and 32 more come to each in
-/// every second, four fifths of what the servers can do; gives back how many were served
-/// in time, and at all.
+/// Each of 50 nodes has held the 32 requests of one second and receives 32 more per second, at
+/// 80 % of the servers' capacity. Returns the requests served in time and all served.
 fn play(paced: bool) -> (usize, usize) {
     let mut servers =
         Servers { free: SLOTS, running: Vec::new(), queue: VecDeque::new(), served_in_time: 0, served: 0 };
@@ -158,7 +156,7 @@
     for now in HELD_FOR_MS..END_MS {
         let (due, rest): (Vec<_>, Vec<_>) = arrivals.iter().partition(|(received, _)| *received <= now);
         arrivals = rest;
-        // What a node believes free is what it does not run itself.
+        // Each node counts all slots as free except those that it uses itself.
         for (received, node) in due {
             let Node { pacing, waiting, running } = &mut nodes[node];
             let free = (SLOTS - *running) as f64;
@@ -185,9 +183,8 @@
     (servers.served_in_time, servers.served)
 }
 
-/// Nodes that send their share leave no slot empty, and serve all in time that can be: but
-/// for one request in each round at each node, which comes as its slots are filled and waits
-/// for the whole of their work.
+/// Paced nodes leave no slot empty and serve every request that can be in time, except for one
+/// per round and node that arrives as the slots are filled.
 #[test]
 fn pacing_serves_every_request_that_can_be_in_time() {
     let at_the_edge = NODES * ROUNDS as usize;
@@ -195,12 +192,12 @@
     let (in_time, served) = play(true);
     assert!(in_time + at_the_edge >= can_be, "{in_time} of {can_be} in time, {served} served");
     assert!(served >= SLOTS * ROUNDS as usize, "{served} served in {ROUNDS} rounds of {SLOTS} slots");
-    // The same load breaks the first bound where all is sent at once.
+    // Without pacing the same load breaks the first bound.
     let (in_time, _) = play(false);
     assert!(in_time + at_the_edge < can_be, "{in_time} of {can_be} in time at once");
 }
 
-/// Room may come about without the end of a request: servers become known, or other nodes go.
+/// Slots can become free without the end of a request, if servers are added or nodes leave.
 #[test]
 fn a_waiting_request_goes_before_a_later_one() {
     let mut pacing = StartupPacer::default();
--- a/crates/core/tests/startup_snapshot.rs
+++ b/crates/core/tests/startup_snapshot.rs
@@ -1,4 +1,4 @@
-//! Which records that were kept before a start are believed.
+//! Use of record snapshots that were stored before a start.
 
 use latchwheel_core::startup_snapshot::{
     is_newer_revision, replaces, snapshot_age, RecordState, StartSnapshots, StoreReachability, MAX_SNAPSHOT_AGE,
@@ -28,7 +28,7 @@
     let oldest = WallTime(NOW.0 - MAX_SNAPSHOT_AGE.as_millis() as u64);
     assert!(replaces(RecordState::Nothing, 7, oldest, NOW));
     assert!(!replaces(RecordState::Nothing, 7, WallTime(oldest.0 - 1), NOW));
-    // Clocks of two nodes differ.
+    // The clocks of the nodes differ.
     let ahead = WallTime(NOW.0 + 2000);
     assert_eq!(snapshot_age(ahead, NOW), Duration::ZERO);
     assert!(replaces(RecordState::Nothing, 7, ahead, NOW));
@@ -44,11 +44,11 @@
     let long_ago = StoreReachability { own_age: Some(Duration::from_secs(4)), upstream_reaches_store: false };
     assert!(snapshots.may_use_snapshots(at(9000), long_ago));
     let upstream_reached = StoreReachability { own_age: None, upstream_reaches_store: true };
-    assert!(!snapshots.may_use_snapshots(at(9000), upstream_reached), "it answers others");
+    assert!(!snapshots.may_use_snapshots(at(9000), upstream_reached), "the store answers others");
 }
 
-/// 150 nodes that kept records poll a node that starts, each ten times a second: it calls
-/// for each prefix at most 3.4 times a second, and no more once it knows the newest.
+/// A starting node polled by 150 nodes with snapshots, ten times per second each, fetches each
+/// prefix at most 3.4 times per second, and not again once it has the newest.
 #[test]
 fn calls_for_snapshots_do_not_grow_with_the_nodes_that_have_them() {
     let mut snapshots = StartSnapshots::new(at(0));
@@ -65,10 +65,10 @@
     assert!((1..=4).contains(&calls), "{calls}");
     assert!(!snapshots.should_fetch(at(5000), NEVER, "a/", RecordState::Stored(249), 249));
     assert!(!snapshots.should_fetch(at(5000), NEVER, "a/", RecordState::Received, 900));
-    assert!(!snapshots.should_fetch(at(5000), NEVER, "a/", RecordState::Nothing, 0), "it knows nothing itself");
+    assert!(!snapshots.should_fetch(at(5000), NEVER, "a/", RecordState::Nothing, 0), "the other node has no records");
 }
 
-/// A node that is restarted in a long outage serves by what its neighbours serve by.
+/// A node restarted during a long outage uses the same records as its neighbours.
 #[test]
 fn records_of_a_running_node_are_used_at_any_age() {
     assert!(is_newer_revision(RecordState::Nothing, 7));
