--- a/crates/core/src/circuit_breaker.rs
+++ b/crates/core/src/circuit_breaker.rs
@@ -1,87 +1,80 @@
-//! When a node may call the record store, and when it may only probe it.
+//! Circuit breaker for calls to the record store.
 //!
-//! While the store is away every call to it is wasted, and many nodes that ask
-//! again and again load it just when it returns. The breaker of a node opens
-//! when its own calls have failed for a while, or when an upstream tells that
-//! its calls do. While it is open, calls are refused without being sent, but
-//! for a probe now and then. An answer closes it.
+//! While the store is unreachable, calls are wasted, and retries of many nodes would
+//! overload it when it returns. The breaker of a node opens when its own calls have failed
+//! for a while, or when an upstream reports that its calls fail. An open breaker refuses
+//! calls except for occasional probes; an answer closes it.
 //!
-//! Invariant: while nobody is known to have an answer, all nodes together probe
-//! about as often as [`ProbePolicy::calls_per_second`] allows, but each node at
-//! least once in [`MAX_SHARED_PAUSE`], so that none depends on another.
+//! Invariant: while no node is known to get answers, all nodes together probe about as often
+//! as [`ProbePolicy::calls_per_second`] allows, but each node at least once per
+//! [`MAX_SHARED_PROBE_INTERVAL`], so that none depends on another.
 
 use crate::retry::exponential_backoff;
 use crate::time::Instant;
 use std::time::Duration;
 
-/// Calls that fail for less long are waiting calls that were cut; the breaker
-/// stays closed.
+/// Minimum duration of failures that opens the breaker; shorter ones may be interrupted long
+/// polls.
 pub const FAILURE_TIME: Duration = Duration::from_millis(200);
-/// Failures in a row that open it at least: the answer to a single call may be
-/// lost while the store is there.
-const LEAST_FAILURES: u32 = 2;
-/// Time between two probes of a node that others rely on, and the shortest one
-/// of any other.
-const LEAST_PAUSE: Duration = Duration::from_millis(250);
-/// Longest time between two probes of a node that is turned away while others
-/// have answers: it must be back in touch well within the bounds on
-/// configuration (2 s and more).
-const LONGEST_OWN_PAUSE: Duration = Duration::from_millis(1600);
-/// Longest time between two probes of a node that hears of no answer: with
-/// [`SPREAD`] it is back in touch within four seconds of the store's return,
-/// also where no upstream is left to tell of it. The strictest bound on news is
-/// three seconds of contact and two for the change itself.
-pub const MAX_SHARED_PAUSE: Duration = Duration::from_secs(3);
-/// Time between two probes of a node that knows no other node yet.
-const ALONE_PAUSE: Duration = Duration::from_secs(1);
-/// Probes are spread over a pause by this share of it, so that nodes that
-/// failed together don't probe together.
+/// Minimum number of consecutive failures that opens the breaker; a single answer may be lost.
+const MIN_FAILURES: u32 = 2;
+/// Probe interval of a node that others rely on, and the minimum for all others.
+const MIN_PROBE_INTERVAL: Duration = Duration::from_millis(250);
+/// Maximum probe interval of a node that gets no answers while others do.
+const MAX_OWN_PROBE_INTERVAL: Duration = Duration::from_millis(1600);
+/// Maximum probe interval while no other node reports answers; with [`SPREAD`] it bounds the
+/// time to notice the store's return without an upstream.
+pub const MAX_SHARED_PROBE_INTERVAL: Duration = Duration::from_secs(3);
+/// Probe interval of a node that has no contact with other nodes.
+const SINGLE_NODE_PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// Jitter of the probe interval as a share of it, so that nodes that failed together don't
+/// probe together.
 const SPREAD: f64 = 0.5;
 
 /// How often the store is probed while it is away.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ProbePolicy {
-    /// Probes that all nodes together may make in a second.
+    /// Probes per second of all nodes together.
     pub calls_per_second: f64,
-    /// Nodes that are known, this one among them.
+    /// Number of nodes, including this one.
     pub nodes: usize,
-    /// Other nodes learn of the store's return from this one.
+    /// Whether other nodes rely on this one to detect the store's return.
     pub relied_on: bool,
 }
 
-/// Whether others have answers from the store.
+/// Whether upstreams get answers from the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Elsewhere {
+enum UpstreamState {
     Unknown,
     Answering,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Calls are made; so many in a row have failed, since that time if any.
+    /// Calls are made; `failures` consecutive ones have failed, from `since` on.
     Closed { failures: u32, since: Instant },
     /// Calls are refused until the next probe.
     Open { next_probe: Instant, failed_probes: u32 },
 }
 
-/// Calls are made and none has failed since the last answer.
+/// The closed state after an answer.
 const ANSWERED: State = State::Closed { failures: 0, since: Instant::from_micros(0) };
 
 /// Decides which calls to the record store are made.
 #[derive(Clone, Debug)]
 pub struct CircuitBreaker {
     policy: ProbePolicy,
-    elsewhere: Elsewhere,
+    upstream: UpstreamState,
     state: State,
 }
 
 impl CircuitBreaker {
-    /// A closed one.
+    /// Creates a closed breaker.
     pub fn new(policy: ProbePolicy) -> Self {
-        Self { policy, elsewhere: Elsewhere::Unknown, state: ANSWERED }
+        Self { policy, upstream: UpstreamState::Unknown, state: ANSWERED }
     }
 
-    /// So many nodes are known now, this one among them.
+    /// Sets the number of nodes, including this one.
     pub fn set_nodes(&mut self, nodes: usize) {
         self.policy.nodes = nodes;
     }
@@ -97,69 +90,69 @@
         if now < next_probe {
             return false;
         }
-        let pause = spread(self.pause(failed_probes), draw);
-        self.state = State::Open { next_probe: now + pause, failed_probes: failed_probes + 1 };
+        let probe_interval = spread(self.probe_interval(failed_probes), draw);
+        self.state = State::Open { next_probe: now + probe_interval, failed_probes: failed_probes + 1 };
         true
     }
 
-    /// The store answered.
+    /// Records an answer of the store, which closes the breaker.
     pub fn note_answer(&mut self) {
         self.state = ANSWERED;
     }
 
-    /// A call failed that should have been answered from `due_at` on.
+    /// Records a failed call whose answer was due at `due_at`.
     pub fn note_failure(&mut self, now: Instant, due_at: Instant, draw: f64) {
         let State::Closed { failures, since } = self.state else { return };
         let since = if failures == 0 { due_at } else { since.min(due_at) };
         let failures = failures.saturating_add(1);
         self.state = State::Closed { failures, since };
-        if failures >= LEAST_FAILURES && now.since(since) >= FAILURE_TIME {
+        if failures >= MIN_FAILURES && now.since(since) >= FAILURE_TIME {
             self.open(now, draw);
         }
     }
 
-    /// An upstream tells that the store doesn't answer it.
+    /// Records an upstream's report that the store doesn't answer it.
     pub fn note_upstream_unreachable(&mut self, now: Instant, draw: f64) {
-        self.elsewhere = Elsewhere::Unknown;
+        self.upstream = UpstreamState::Unknown;
         if !self.is_open() {
             self.open(now, draw);
         }
     }
 
-    /// An upstream tells that the store answers it, or another node. If that is
-    /// news, the next call is made; tells whether calls were held back until now.
+    /// Records an upstream's report that the store answers. The first such report makes a probe
+    /// due at once; returns whether that happened.
     pub fn note_upstream_answering(&mut self, now: Instant) -> bool {
-        let news = self.elsewhere != Elsewhere::Answering;
-        self.elsewhere = Elsewhere::Answering;
+        let is_new = self.upstream != UpstreamState::Answering;
+        self.upstream = UpstreamState::Answering;
         let State::Open { next_probe, .. } = self.state else { return false };
-        if news {
+        if is_new {
             self.state = State::Open { next_probe: next_probe.min(now), failed_probes: 0 };
         }
-        news
+        is_new
     }
 
     fn open(&mut self, now: Instant, draw: f64) {
-        // Any moment of the pause is as good as another for the first probe.
-        let next_probe = now + self.pause(0).mul_f64(draw.clamp(0.0, 1.0));
+        // The first probe is at a random point of the interval.
+        let next_probe = now + self.probe_interval(0).mul_f64(draw.clamp(0.0, 1.0));
         self.state = State::Open { next_probe, failed_probes: 0 };
     }
 
-    fn pause(&self, failed_probes: u32) -> Duration {
+    fn probe_interval(&self, failed_probes: u32) -> Duration {
         if self.policy.relied_on {
-            return LEAST_PAUSE;
+            return MIN_PROBE_INTERVAL;
         }
-        if self.elsewhere == Elsewhere::Answering {
-            return exponential_backoff(LEAST_PAUSE, LONGEST_OWN_PAUSE, failed_probes);
+        if self.upstream == UpstreamState::Answering {
+            return exponential_backoff(MIN_PROBE_INTERVAL, MAX_OWN_PROBE_INTERVAL, failed_probes);
         }
         if self.policy.nodes < 2 {
-            return ALONE_PAUSE;
+            return SINGLE_NODE_PROBE_INTERVAL;
         }
         let shared = self.policy.nodes as f64 / self.policy.calls_per_second.max(f64::MIN_POSITIVE);
-        Duration::from_secs_f64(shared.min(MAX_SHARED_PAUSE.as_secs_f64())).max(LEAST_PAUSE)
+        Duration::from_secs_f64(shared.min(MAX_SHARED_PROBE_INTERVAL.as_secs_f64())).max(MIN_PROBE_INTERVAL)
     }
 }
 
-/// A pause that differs by chance but is the given one on average.
-fn spread(pause: Duration, draw: f64) -> Duration {
-    pause.mul_f64(1.0 + SPREAD * (draw.clamp(0.0, 1.0) - 0.5))
+/// Adds jitter to an interval; its average stays the same.
+fn spread(probe_interval: Duration, draw: f64) -> Duration {
+    probe_interval.mul_f64(1.0 + SPREAD * (draw.clamp(0.0, 1.0) - 0.5))
 }
--- a/crates/core/tests/store_outage.rs
+++ b/crates/core/tests/store_outage.rs
@@ -1,7 +1,7 @@
 //! Outages of the record store with failed upstreams and lost polls must cost few calls, and nodes
 //! must detect the recovery soon.
 
-use latchwheel_core::circuit_breaker::{CircuitBreaker, ProbePolicy, MAX_SHARED_PAUSE};
+use latchwheel_core::circuit_breaker::{CircuitBreaker, ProbePolicy, MAX_SHARED_PROBE_INTERVAL};
 use latchwheel_core::record_source::{PollCondition, RecordSource, SourceSelector, UpstreamState};
 use latchwheel_core::time::Instant;
 use rand::rngs::StdRng;
@@ -202,7 +202,7 @@
 
 /// Maximum calls of all nodes in an outage: for each node one at its start, and its probes.
 fn max_calls(outage: Duration) -> usize {
-    let probes = outage.as_secs_f64() / (MAX_SHARED_PAUSE.as_secs_f64() * 0.75) + 1.0;
+    let probes = outage.as_secs_f64() / (MAX_SHARED_PROBE_INTERVAL.as_secs_f64() * 0.75) + 1.0;
     (NODES as f64 * probes) as usize
 }
 
@@ -243,7 +243,7 @@
 
 /// Maximum time for a node without upstreams to detect the recovery.
 fn max_recovery_alone() -> Duration {
-    MAX_SHARED_PAUSE.mul_f64(1.25) + Duration::from_millis(100)
+    MAX_SHARED_PROBE_INTERVAL.mul_f64(1.25) + Duration::from_millis(100)
 }
 
 /// Nodes must not depend on upstreams to detect the recovery.
