--- a/crates/core/src/permits/client.rs
+++ b/crates/core/src/permits/client.rs
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PermitOutcome {
     /// Number of requests that proceed, first come first.
-    pub go: u32,
+    pub admitted: u32,
     /// Number of the following requests that are refused.
     pub refused: u32,
     /// Time after which the refused requests should be retried.
@@ -62,7 +62,7 @@
     /// Tenant that the permits are for.
     pub tenant: TenantKey,
     /// Requests that proceed or are refused.
-    pub answered: PermitOutcome,
+    pub outcome: PermitOutcome,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -259,14 +259,14 @@
         self.unresponsive_until.remove(&call.coordinator);
         let until = call.sent_at + PERMIT_TTL;
         let granted = if now < until { granted } else { 0 };
-        let go = granted.min(state.waiting);
-        let refused = call.urgent.saturating_sub(granted).min(state.waiting - go);
-        state.waiting -= go + refused;
+        let admitted = granted.min(state.waiting);
+        let refused = call.urgent.saturating_sub(granted).min(state.waiting - admitted);
+        state.waiting -= admitted + refused;
         state.waiting_since = now;
-        if granted > go {
-            state.add_stock(granted - go, until, now);
+        if granted > admitted {
+            state.add_stock(granted - admitted, until, now);
         }
-        PermitOutcome { go, refused, retry_after }
+        PermitOutcome { admitted, refused, retry_after }
     }
 
     /// Handles a redirect: the called node does not coordinate the tenant now.
@@ -291,16 +291,16 @@
             if state.waiting == 0 || waited < LOCAL_SHARE_AFTER {
                 continue;
             }
-            let mut answered = PermitOutcome { retry_after: DEFAULT_RETRY_AFTER, ..PermitOutcome::default() };
+            let mut outcome = PermitOutcome { retry_after: DEFAULT_RETRY_AFTER, ..PermitOutcome::default() };
             if state.take_local(now, nodes) {
-                answered.go = 1;
+                outcome.admitted = 1;
             }
             if waited >= MAX_WAIT {
-                answered.refused = state.waiting - answered.go;
+                outcome.refused = state.waiting - outcome.admitted;
             }
-            state.waiting -= answered.go + answered.refused;
-            if answered.go + answered.refused > 0 {
-                result.push(TenantOutcome { tenant: *tenant, answered });
+            state.waiting -= outcome.admitted + outcome.refused;
+            if outcome.admitted + outcome.refused > 0 {
+                result.push(TenantOutcome { tenant: *tenant, outcome });
             }
         }
         result
--- a/crates/core/src/startup_snapshot.rs
+++ b/crates/core/src/startup_snapshot.rs
@@ -79,13 +79,13 @@
 #[derive(Debug)]
 pub struct StartSnapshots {
     started: Instant,
-    called: HashMap<String, Instant>,
+    fetched_at: HashMap<String, Instant>,
 }
 
 impl StartSnapshots {
     /// Creates the state of a node that starts at `now`.
     pub fn new(now: Instant) -> Self {
-        Self { started: now, called: HashMap::new() }
+        Self { started: now, fetched_at: HashMap::new() }
     }
 
     /// Whether snapshots may be used now.
@@ -107,12 +107,12 @@
             RecordState::Stored(present) => offered > present,
             RecordState::Received => false,
         };
-        let called_lately = self.called.get(prefix).is_some_and(|at| now.since(*at) < FETCH_INTERVAL);
-        is_newer && !called_lately && self.may_use_snapshots(now, contact)
+        let fetched_recently = self.fetched_at.get(prefix).is_some_and(|at| now.since(*at) < FETCH_INTERVAL);
+        is_newer && !fetched_recently && self.may_use_snapshots(now, contact)
     }
 
     /// Records a fetch of a prefix from another node.
-    pub fn note_call(&mut self, now: Instant, prefix: &str) {
-        self.called.insert(prefix.to_owned(), now);
+    pub fn note_fetch(&mut self, now: Instant, prefix: &str) {
+        self.fetched_at.insert(prefix.to_owned(), now);
     }
 }
--- a/crates/core/tests/permits.rs
+++ b/crates/core/tests/permits.rs
@@ -136,7 +136,7 @@
             }
             self.arrive();
             for node in 0..self.nodes.len() {
-                self.look(node);
+                self.step_client(node);
             }
         }
     }
@@ -181,12 +181,12 @@
 
     fn settle(&mut self, waited: TenantOutcome) {
         let number = self.number_of(waited.tenant);
-        let go = waited.answered.go as usize;
-        self.outcomes[number].ran.extend(std::iter::repeat_n(self.now, go));
-        self.outcomes[number].refused += waited.answered.refused as usize;
+        let admitted = waited.outcome.admitted as usize;
+        self.outcomes[number].ran.extend(std::iter::repeat_n(self.now, admitted));
+        self.outcomes[number].refused += waited.outcome.refused as usize;
     }
 
-    fn look(&mut self, node: usize) {
+    fn step_client(&mut self, node: usize) {
         if self.nodes[node].down_until > self.now {
             return;
         }
@@ -224,8 +224,8 @@
     fn take(&mut self, node: usize, message: Message) {
         match message {
             Message::Grant { tenant, number, granted, retry_after } => {
-                let answered = self.nodes[node].client.note_grant(self.now, tenant, number, granted, retry_after);
-                self.settle(TenantOutcome { tenant, answered });
+                let outcome = self.nodes[node].client.note_grant(self.now, tenant, number, granted, retry_after);
+                self.settle(TenantOutcome { tenant, outcome });
             }
             Message::NotCoordinator { tenant, number } => {
                 self.nodes[node].client.note_not_coordinator(self.now, tenant, number);
@@ -308,7 +308,7 @@
 }
 
 #[test]
-fn calm_tenants_below_their_limit_are_never_refused() {
+fn tenants_below_their_limit_are_rarely_refused() {
     for seed in 0..3 {
         let schedule = play(seed, 60, 72, 0.62, Faults { lost: 0.002, ..Faults::default() });
         let refused: usize = schedule.outcomes.iter().map(|outcome| outcome.refused).sum();
--- a/crates/core/tests/start_lease.rs
+++ b/crates/core/tests/start_lease.rs
@@ -41,26 +41,26 @@
 /// With late or lost updates, no item reaches a server after the cancellation deadline if
 /// sending takes at most half a second.
 #[test]
-fn no_item_is_at_a_server_after_the_end_is_in_force() {
+fn no_item_reaches_a_server_after_the_cancellation_deadline() {
     for seed in 0..200 {
         let mut random = SmallRng::seed_from_u64(seed);
         let mut lease = StartLease::new(CANCEL_DEADLINE);
-        let ended_at = random.random_range(0..5_000);
+        let cancelled_at = random.random_range(0..5_000);
         let mut started = 0;
         for now in (0..20_000).step_by(10) {
             // Occasionally the worker receives the state of an earlier moment.
             if random.random_bool(0.02) {
                 let learned = now - random.random_range(0..=now.min(6_000));
-                if learned < ended_at {
+                if learned < cancelled_at {
                     lease.note_open(at(learned));
                 }
             }
             if lease.allows(at(now)) {
                 started += 1;
                 let arrives = now + random.random_range(0..500);
-                assert!(arrives < ended_at + 3_000, "seed {seed}: ended at {ended_at}, arrives at {arrives}");
+                assert!(arrives < cancelled_at + 3_000, "seed {seed}: ended at {cancelled_at}, arrives at {arrives}");
             }
         }
-        assert!(started > 0 || ended_at < 2_000, "seed {seed}: nothing ever started");
+        assert!(started > 0 || cancelled_at < 2_000, "seed {seed}: nothing ever started");
     }
 }
--- a/crates/core/tests/startup_hold.rs
+++ b/crates/core/tests/startup_hold.rs
@@ -4,8 +4,8 @@
 use latchwheel_core::startup_hold::{Arrival, StartupHold, StartupState, TableState};
 use std::time::Duration;
 
-const NOTHING: StartupState = StartupState { table: TableState::Unknown, servers: false, leaving: false };
-const ENOUGH: StartupState = StartupState { table: TableState::InForce, servers: true, leaving: false };
+const STARTING: StartupState = StartupState { table: TableState::Unknown, servers: false, leaving: false };
+const READY: StartupState = StartupState { table: TableState::InForce, servers: true, leaving: false };
 
 fn ms(milliseconds: u64) -> Duration {
     Duration::from_millis(milliseconds)
@@ -32,11 +32,11 @@
 }
 
 impl Start {
-    fn knowledge(&self, now: Duration) -> StartupState {
+    fn startup_state(&self, now: Duration) -> StartupState {
         if self.ready_at.is_some_and(|ready_at| ready_at <= now) {
-            ENOUGH
+            READY
         } else {
-            NOTHING
+            STARTING
         }
     }
 
@@ -49,15 +49,15 @@
         let mut arrivals = (0..self.arrivals).map(|number| self.pause * number).peekable();
         let mut now = Duration::ZERO;
         while arrivals.peek().is_some() || !held.is_empty() {
-            let knowledge = self.knowledge(now);
-            let goes_on = |(_, end): &(Duration, Duration)| !knowledge.waits() || *end <= now;
+            let startup_state = self.startup_state(now);
+            let goes_on = |(_, end): &(Duration, Duration)| !startup_state.waits() || *end <= now;
             for (arrival, _) in held.extract_if(.., |request| goes_on(request)) {
                 holding.leave();
-                outcomes.note(self, &knowledge, Some(now - arrival));
+                outcomes.note(self, &startup_state, Some(now - arrival));
             }
             while arrivals.next_if(|arrival| *arrival <= now).is_some() {
-                match holding.arrive(&knowledge, self.left) {
-                    Arrival::Proceed => outcomes.note(self, &knowledge, None),
+                match holding.arrive(&startup_state, self.left) {
+                    Arrival::Proceed => outcomes.note(self, &startup_state, None),
                     Arrival::Hold(time) => held.push((now, now + time)),
                 }
                 assert_eq!(holding.held(), held.len());
@@ -70,10 +70,10 @@
 }
 
 impl Outcomes {
-    fn note(&mut self, start: &Start, knowledge: &StartupState, was_held: Option<Duration>) {
+    fn note(&mut self, start: &Start, startup_state: &StartupState, was_held: Option<Duration>) {
         let held_for = was_held.unwrap_or_default();
         self.longest_held = self.longest_held.max(held_for);
-        let is_served = knowledge.refusal(was_held.is_some()).is_none();
+        let is_served = startup_state.refusal(was_held.is_some()).is_none();
         let is_late = is_served && start.left.is_some_and(|left| held_for >= left);
         self.served += usize::from(is_served && !is_late);
         self.served_too_late += usize::from(is_late);
@@ -111,7 +111,7 @@
 /// Hold time: 90 % of the caller's time, 0.8 s without a deadline, at most 30 s.
 #[test]
 fn hold_time_is_bounded() {
-    let held_for = |left| StartupHold::default().arrive(&NOTHING, left);
+    let held_for = |left| StartupHold::default().arrive(&STARTING, left);
     assert_eq!(held_for(Some(ms(5000))), Arrival::Hold(ms(4500)));
     assert_eq!(held_for(Some(Duration::ZERO)), Arrival::Hold(Duration::ZERO));
     assert_eq!(held_for(None), Arrival::Hold(ms(800)));
@@ -130,15 +130,15 @@
     assert_eq!(outcomes.most_held, StartupHold::LIMIT);
     assert_eq!((outcomes.served, outcomes.refused), (StartupHold::LIMIT, requests - StartupHold::LIMIT));
     let mut holding = StartupHold::default();
-    while holding.arrive(&NOTHING, None) != Arrival::Proceed {}
+    while holding.arrive(&STARTING, None) != Arrival::Proceed {}
     holding.leave();
-    assert_ne!(holding.arrive(&NOTHING, None), Arrival::Proceed);
+    assert_ne!(holding.arrive(&STARTING, None), Arrival::Proceed);
 }
 
 /// Requests are not held for a table that the store does not have.
 #[test]
 fn requests_are_not_held_for_an_absent_table() {
-    let mut state = NOTHING;
+    let mut state = STARTING;
     assert!(state.waits());
     state.note_table_received();
     assert_eq!(state.table, TableState::Absent);
@@ -154,12 +154,12 @@
 }
 
 #[test]
-fn nobody_is_held_at_a_node_that_leaves() {
+fn requests_are_not_held_at_a_draining_node() {
     for table in [TableState::Unknown, TableState::Absent, TableState::InForce] {
         let state = StartupState { table, servers: false, leaving: true };
         assert_eq!(StartupHold::default().arrive(&state, Some(ms(5000))), Arrival::Proceed);
         assert_eq!(state.refusal(true), Some(ResultCode::Leaving));
     }
-    let serves = StartupState { leaving: true, ..ENOUGH };
+    let serves = StartupState { leaving: true, ..READY };
     assert_eq!(serves.refusal(true), None, "a node serves until it has left");
 }
--- a/crates/core/tests/startup_pacing.rs
+++ b/crates/core/tests/startup_pacing.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn all_go_once_it_ends() {
+fn all_waiting_requests_are_sent_when_pacing_ends() {
     let mut pacing = StartupPacer::default();
     pacing.begin(at(1000));
     assert_eq!(pacing.submit(at(1000), &service(), 0.0, request(1000, 1300)), PacingDecision::Send);
--- a/crates/core/tests/startup_snapshot.rs
+++ b/crates/core/tests/startup_snapshot.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn the_store_is_waited_for_first() {
+fn snapshots_are_not_used_before_the_store_timeout() {
     let snapshots = StartSnapshots::new(at(1000));
     assert!(!snapshots.may_use_snapshots(at(1000), NEVER));
     assert!(snapshots.may_use_snapshots(at(1000) + STORE_TIMEOUT, NEVER));
@@ -52,14 +52,14 @@
 #[test]
 fn calls_for_snapshots_do_not_grow_with_the_nodes_that_have_them() {
     let mut snapshots = StartSnapshots::new(at(0));
-    let mut known = RecordState::Nothing;
+    let mut held_state = RecordState::Nothing;
     let mut calls = 0;
     for poll in 0..1500_u64 {
         let (now, offered) = (at(300 + poll * 1000 / 1500), 100 + poll % 150);
-        if snapshots.should_fetch(now, NEVER, "a/", known, offered) {
-            snapshots.note_call(now, "a/");
+        if snapshots.should_fetch(now, NEVER, "a/", held_state, offered) {
+            snapshots.note_fetch(now, "a/");
             calls += 1;
-            known = RecordState::Stored(offered);
+            held_state = RecordState::Stored(offered);
         }
     }
     assert!((1..=4).contains(&calls), "{calls}");
--- a/crates/proxy/src/permits.rs
+++ b/crates/proxy/src/permits.rs
@@ -107,7 +107,7 @@
         let now = self.clock.now();
         let mut state = self.lock();
         for waited in state.holder.overdue(now, nodes + 1) {
-            state.settle(now, waited.tenant, waited.answered);
+            state.settle(now, waited.tenant, waited.outcome);
         }
         let calls = state.holder.calls(now, homes);
         let (to_self, to_others): (Vec<_>, Vec<_>) = calls.into_iter().partition(|ask| ask.coordinator == own);
@@ -199,7 +199,7 @@
     /// Tells the requests that waited longest.
     fn settle(&mut self, now: Instant, tenant: TenantKey, answered: PermitOutcome) {
         let Some(waiters) = self.waiters.get_mut(&tenant) else { return };
-        for _ in 0..answered.go {
+        for _ in 0..answered.admitted {
             let gone = waiters.pop_front().is_none_or(|waiter| waiter.send(Ok(())).is_err());
             if gone {
                 self.holder.return_permit(now, tenant);
--- a/crates/records/src/kept.rs
+++ b/crates/records/src/kept.rs
@@ -283,7 +283,7 @@
         let wanted = asked.positions.iter().filter(|position| self.wants(position));
         let wanted: Vec<String> = wanted.map(|position| position.prefix.clone()).collect();
         let mut snapshots = lock(&self.start.snapshots);
-        wanted.iter().for_each(|prefix| snapshots.note_call(self.clock.now(), prefix));
+        wanted.iter().for_each(|prefix| snapshots.note_fetch(self.clock.now(), prefix));
         wanted
     }
 
