--- a/crates/core/src/admission/queue.rs
+++ b/crates/core/src/admission/queue.rs
@@ -55,7 +55,7 @@
 pub struct Granted<T> {
     /// The claim.
     pub claim: Claim,
-    /// The slot, as returned by the caller of [`ClaimQueue::grant`].
+    /// The slot that `place` of [`ClaimQueue::grant`] returned.
     pub place: T,
 }
 
