--- a/crates/bench/src/decision.rs
+++ b/crates/bench/src/decision.rs
@@ -2,7 +2,7 @@
 
 use latchwheel_core::identity::{NodeId, ServerId, WorkId};
 use latchwheel_core::prefix::block_hashes;
-use latchwheel_core::routing::{choose_owner, Affinity, OwnerRoom};
+use latchwheel_core::routing::{choose_owner, Affinity, OwnerLoad};
 use latchwheel_core::scheduler::{BatchPolicy, Event, Scheduler, ServerProfile, Work};
 use latchwheel_core::table::Class;
 use latchwheel_core::time::Instant;
@@ -48,9 +48,9 @@
 
 fn route(owners: usize) -> f64 {
     let mut random = SmallRng::seed_from_u64(1);
-    let rooms: Vec<OwnerRoom> =
-        (0..owners).map(|owner| OwnerRoom { node: NodeId(owner as u64 + 2), free: 16, queued: 0 }).collect();
-    let own = Some(OwnerRoom { node: NodeId(1), free: 16, queued: 0 });
+    let rooms: Vec<OwnerLoad> =
+        (0..owners).map(|owner| OwnerLoad { node: NodeId(owner as u64 + 2), free: 16, queued: 0 }).collect();
+    let own = Some(OwnerLoad { node: NodeId(1), free: 16, queued: 0 });
     let mut affinity = Affinity::default();
     let prompts: Vec<Vec<u8>> =
         (0..64).map(|number: u8| (0..PROMPT_BYTES).map(|byte| (byte as u8).wrapping_mul(number)).collect()).collect();
--- a/crates/core/src/directory.rs
+++ b/crates/core/src/directory.rs
@@ -136,7 +136,7 @@
 
     /// When a server is to be given up whose vanished registration does not
     /// return; `None` while there is none, or while the store is away.
-    pub fn next_end(&self) -> Option<Instant> {
+    pub fn next_removal(&self) -> Option<Instant> {
         let vanished = self.entries.values().any(|entry| entry.vanished);
         self.lapse.end().filter(|_| vanished)
     }
--- a/crates/core/src/prefix.rs
+++ b/crates/core/src/prefix.rs
@@ -10,7 +10,7 @@
 /// Bytes of prompt text per block: 16 tokens at about 4 bytes each.
 pub const BLOCK_BYTES: usize = 64;
 /// Most blocks of one prompt that are hashed.
-pub const BLOCK_LIMIT: usize = 128;
+pub const MAX_PROMPT_BLOCKS: usize = 128;
 /// Most blocks remembered per server; older ones are dropped first.
 const BLOCKS_PER_SERVER: usize = 4096;
 
@@ -19,7 +19,7 @@
     let mut previous = 0;
     prompt
         .chunks_exact(BLOCK_BYTES)
-        .take(BLOCK_LIMIT)
+        .take(MAX_PROMPT_BLOCKS)
         .map(|block| {
             previous = stable_pair_hash(stable_hash(block), previous);
             previous
--- a/crates/core/src/routes.rs
+++ b/crates/core/src/routes.rs
@@ -71,7 +71,7 @@
     /// Longest pause between events that is in time.
     pub gap_target: Option<Duration>,
     /// Time without an event after which callers leave, if that is known.
-    pub caller_patience: Option<Duration>,
+    pub caller_timeout: Option<Duration>,
     /// Time after a job's arrival at which its results are due.
     pub due: Duration,
     /// Time after a job's arrival at which its items may be given up.
@@ -176,7 +176,7 @@
     ///
     /// # Errors
     /// [`UnknownKey`] if the key is needed and no tenant has it.
-    pub fn caller(&self, key: Option<&str>, public: bool) -> Result<Option<Arc<Tenant>>, UnknownKey> {
+    pub fn authenticate(&self, key: Option<&str>, public: bool) -> Result<Option<Arc<Tenant>>, UnknownKey> {
         if self.tenants.is_empty() {
             return Ok(None);
         }
@@ -207,7 +207,7 @@
     }
 
     /// Whether any route knows the host.
-    pub fn knows_host(&self, host: &str) -> bool {
+    pub fn has_host(&self, host: &str) -> bool {
         self.by_host.contains_key(host)
     }
 
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -17,7 +17,7 @@
 
 /// What is known of an owner's room for one service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OwnerRoom {
+pub struct OwnerLoad {
     /// The owner.
     pub node: NodeId,
     /// Online requests that it could start now.
@@ -26,7 +26,7 @@
     pub queued: u32,
 }
 
-impl OwnerRoom {
+impl OwnerLoad {
     fn score(&self) -> f64 {
         f64::from(self.free) - f64::from(self.queued)
     }
@@ -67,17 +67,17 @@
 /// Chooses an owner among `own` and `others`; `None` where nobody has the
 /// service.
 pub fn choose_owner(
-    own: Option<OwnerRoom>,
-    others: &[OwnerRoom],
+    own: Option<OwnerLoad>,
+    others: &[OwnerLoad],
     affinity: Option<(NodeId, usize)>,
     random: &mut impl Rng,
 ) -> Option<NodeId> {
-    let worth = |room: &OwnerRoom| match affinity {
+    let worth = |room: &OwnerLoad| match affinity {
         Some((owner, blocks)) if owner == room.node && room.queued == 0 => room.score() + blocks as f64 * BLOCK_WORTH,
         _ => room.score(),
     };
     let mut best = own.map(|room| (room.node, worth(&room) + FORWARD_MARGIN));
-    let mut consider = |room: &OwnerRoom| {
+    let mut consider = |room: &OwnerLoad| {
         let value = worth(room);
         if best.is_none_or(|(_, present)| value > present) {
             best = Some((room.node, value));
--- a/crates/core/tests/directory.rs
+++ b/crates/core/tests/directory.rs
@@ -84,10 +84,10 @@
     assert_eq!(ready(&directory), ["alive", "dead"]);
     directory.note_record(record("alive", false, 2));
     assert!(directory.tick(at(11.0)).is_empty());
-    assert_eq!(directory.next_end(), Some(at(10.0) + LAPSE_GRACE));
+    assert_eq!(directory.next_removal(), Some(at(10.0) + LAPSE_GRACE));
     assert_eq!(directory.tick(at(10.0) + LAPSE_GRACE), [DirectoryChange::Gone("dead".into())]);
     assert_eq!(ready(&directory), ["alive"]);
-    assert_eq!(directory.next_end(), None);
+    assert_eq!(directory.next_removal(), None);
 }
 
 /// A node that hears of the store's return late has less time left, not more:
--- a/crates/core/tests/limits_and_retries.rs
+++ b/crates/core/tests/limits_and_retries.rs
@@ -6,7 +6,7 @@
 use latchwheel_core::placement::{Fence, LoadPacer, OrderLease};
 use latchwheel_core::prefix::{block_hashes, CacheEvent, PrefixIndex};
 use latchwheel_core::retry::{exponential_backoff, RetryBudgets};
-use latchwheel_core::routing::{choose_owner, Affinity, OwnerRoom};
+use latchwheel_core::routing::{choose_owner, Affinity, OwnerLoad};
 use latchwheel_core::table::RetryPolicy;
 use latchwheel_core::time::Instant;
 use proptest::prelude::*;
@@ -174,7 +174,7 @@
 #[test]
 fn the_owner_of_the_prefix_is_chosen_unless_it_is_busy() {
     let mut random = SmallRng::seed_from_u64(1);
-    let room = |node, free, queued| OwnerRoom { node: NodeId(node), free, queued };
+    let room = |node, free, queued| OwnerLoad { node: NodeId(node), free, queued };
     let own = Some(room(1, 8, 0));
     let others = [room(2, 8, 0), room(3, 8, 0)];
     assert_eq!(choose_owner(own, &others, None, &mut random), Some(NodeId(1)), "the own servers come first");
--- a/crates/core/tests/routes.rs
+++ b/crates/core/tests/routes.rs
@@ -26,7 +26,7 @@
             .collect(),
         max_attempts: 2,
         gap_target: None,
-        caller_patience: None,
+        caller_timeout: None,
         due: Duration::from_secs(20),
         retention: Duration::from_secs(60),
         queued_token_limit: 0,
--- a/crates/node/src/forward.rs
+++ b/crates/node/src/forward.rs
@@ -9,7 +9,7 @@
 use hyper::Response;
 use latchwheel_core::code::ResultCode;
 use latchwheel_core::identity::{stable_hash, NodeId};
-use latchwheel_core::routing::{choose_owner, Affinity, OwnerRoom};
+use latchwheel_core::routing::{choose_owner, Affinity, OwnerLoad};
 use latchwheel_core::table::Table;
 use latchwheel_gateway::{refuse, refuse_after, OnlineRequest, CODE_HEADER, RAN_HEADER};
 use latchwheel_http::{boxed, full, read_bounded, Body, CallFault};
@@ -84,7 +84,7 @@
         let service = request.row.service.as_str();
         let has_service = self.online.owner.services().iter().any(|name| **name == *service);
         let (free, queued) = self.online.owner.online_load(service);
-        let own = (has_service && !tried.contains(&me)).then_some(OwnerRoom { node: me, free, queued });
+        let own = (has_service && !tried.contains(&me)).then_some(OwnerLoad { node: me, free, queued });
         let others = self.others(service, tried);
         if self.policy == RoutingPolicy::RoundRobin {
             let mut all: Vec<NodeId> = own.iter().chain(&others).map(|room| room.node).collect();
@@ -96,7 +96,7 @@
         choose_owner(own, &others, affinity, &mut rand::rng())
     }
 
-    fn others(&self, service: &str, tried: &BTreeSet<NodeId>) -> Vec<OwnerRoom> {
+    fn others(&self, service: &str, tried: &BTreeSet<NodeId>) -> Vec<OwnerLoad> {
         let number = service_number(service);
         let view = self.members.view();
         let live: BTreeSet<u64> = view.live().map(|record| record.node).collect();
@@ -106,7 +106,7 @@
             .filter(|summary| live.contains(&summary.node) && !tried.contains(&NodeId(summary.node)))
             .filter_map(|summary| {
                 let load = summary.loads.iter().find(|load| load.service == number)?;
-                Some(OwnerRoom { node: NodeId(summary.node), free: load.free, queued: load.queued })
+                Some(OwnerLoad { node: NodeId(summary.node), free: load.free, queued: load.queued })
             })
             .collect()
     }
--- a/crates/proxy/src/caller.rs
+++ b/crates/proxy/src/caller.rs
@@ -68,9 +68,9 @@
         public: bool,
     ) -> Result<Option<Arc<Tenant>>, ResultCode> {
         if self.accepts_keys() {
-            return table.caller(key, public).map_err(|UnknownKey| ResultCode::Unauthorized);
+            return table.authenticate(key, public).map_err(|UnknownKey| ResultCode::Unauthorized);
         }
-        table.caller(None, public).map_err(|UnknownKey| ResultCode::NotReady)
+        table.authenticate(None, public).map_err(|UnknownKey| ResultCode::NotReady)
     }
 
     fn key_life(&self) -> MutexGuard<'_, KeyAcceptance> {
--- a/crates/proxy/src/place.rs
+++ b/crates/proxy/src/place.rs
@@ -105,7 +105,7 @@
     /// Longest time to wait for a slot from now on.
     pub(crate) fn max_hold(&self) -> Duration {
         let waited = self.shared.clock.now().since(self.received);
-        let patience = self.route.caller_patience.map(|patience| patience.saturating_sub(waited));
+        let patience = self.route.caller_timeout.map(|patience| patience.saturating_sub(waited));
         max_hold(self.left(), patience)
     }
 
--- a/crates/proxy/tests/support/mod.rs
+++ b/crates/proxy/tests/support/mod.rs
@@ -271,7 +271,7 @@
         targets: vec![WeightedService { service: SERVICE.into(), weight: 1.0 }],
         max_attempts,
         gap_target: Some(Duration::from_millis(100)),
-        caller_patience: None,
+        caller_timeout: None,
         due: Duration::from_secs(20),
         retention: Duration::from_secs(60),
         queued_token_limit: 0,
