--- a/crates/core/src/directory.rs
+++ b/crates/core/src/directory.rs
@@ -27,7 +27,7 @@
 pub const LAPSE_GRACE: Duration = Duration::from_millis(2500);
 /// Identities of ended servers that are remembered, so that a late heartbeat
 /// doesn't bring them back.
-const ENDED_LIMIT: usize = 4096;
+const MAX_REMOVED_IDS: usize = 4096;
 
 /// A server as it registered itself.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -71,13 +71,13 @@
 #[derive(Debug)]
 pub struct Directory {
     entries: HashMap<Arc<str>, Entry>,
-    ended: HashMap<Arc<str>, u64>,
+    removed: HashMap<Arc<str>, u64>,
     lapse: LapseGrace,
 }
 
 impl Default for Directory {
     fn default() -> Self {
-        Self { entries: HashMap::new(), ended: HashMap::new(), lapse: LapseGrace::new(LAPSE_GRACE) }
+        Self { entries: HashMap::new(), removed: HashMap::new(), lapse: LapseGrace::new(LAPSE_GRACE) }
     }
 }
 
@@ -89,7 +89,7 @@
 
     /// A server's registration was seen.
     pub fn note_record(&mut self, record: ServerRecord) -> Option<DirectoryChange> {
-        if self.ended.get(&record.id).is_some_and(|sequence| record.sequence <= *sequence) {
+        if self.removed.get(&record.id).is_some_and(|sequence| record.sequence <= *sequence) {
             return None;
         }
         let Some(entry) = self.entries.get_mut(&record.id) else {
@@ -121,7 +121,7 @@
             entry.vanished = true;
             return Some(DirectoryChange::Unconfirmed(entry.record.id.clone()));
         }
-        self.end(id)
+        self.remove(id)
     }
 
     /// All registrations at one moment.
@@ -148,7 +148,7 @@
         }
         let vanished: Vec<Arc<str>> =
             self.entries.values().filter(|entry| entry.vanished).map(|entry| entry.record.id.clone()).collect();
-        vanished.iter().filter_map(|id| self.end(id)).collect()
+        vanished.iter().filter_map(|id| self.remove(id)).collect()
     }
 
     /// Servers that take new work.
@@ -156,12 +156,12 @@
         self.entries.values().map(|entry| &entry.record).filter(|record| !record.draining)
     }
 
-    fn end(&mut self, id: &str) -> Option<DirectoryChange> {
+    fn remove(&mut self, id: &str) -> Option<DirectoryChange> {
         let entry = self.entries.remove(id)?;
-        if self.ended.len() >= ENDED_LIMIT {
-            self.ended.clear();
+        if self.removed.len() >= MAX_REMOVED_IDS {
+            self.removed.clear();
         }
-        self.ended.insert(entry.record.id.clone(), entry.record.sequence);
+        self.removed.insert(entry.record.id.clone(), entry.record.sequence);
         Some(DirectoryChange::Gone(entry.record.id))
     }
 }
--- a/crates/core/src/ownership.rs
+++ b/crates/core/src/ownership.rs
@@ -6,7 +6,7 @@
 
 /// A node may own at most this many times the mean share, rounded up
 /// (bounded loads: Mirrokni et al., "Consistent Hashing with Bounded Loads").
-const SHARE_BOUND: f64 = 1.25;
+const MAX_SHARE_FACTOR: f64 = 1.25;
 
 /// A node that may own servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -33,15 +33,15 @@
 /// Assigns each server to a live node of its zone, or of its region where the
 /// zone has none. A server whose region has no live node has no owner.
 pub fn assign(nodes: &[OwnerCandidate], servers: &[OwnedServer]) -> BTreeMap<ServerId, NodeId> {
-    let mut by_place: BTreeMap<Vec<NodeId>, Vec<ServerId>> = BTreeMap::new();
+    let mut by_candidates: BTreeMap<Vec<NodeId>, Vec<ServerId>> = BTreeMap::new();
     for server in servers {
         let candidates = candidates_for(nodes, server);
         if !candidates.is_empty() {
-            by_place.entry(candidates).or_default().push(server.server);
+            by_candidates.entry(candidates).or_default().push(server.server);
         }
     }
     let mut owners = BTreeMap::new();
-    for (candidates, mut group) in by_place {
+    for (candidates, mut group) in by_candidates {
         group.sort_unstable();
         assign_group(&candidates, &group, &mut owners);
     }
@@ -61,7 +61,7 @@
 
 fn assign_group(candidates: &[NodeId], servers: &[ServerId], owners: &mut BTreeMap<ServerId, NodeId>) {
     let mean = servers.len() as f64 / candidates.len() as f64;
-    let bound = (mean * SHARE_BOUND).ceil() as usize;
+    let bound = (mean * MAX_SHARE_FACTOR).ceil() as usize;
     let mut shares: BTreeMap<NodeId, usize> = BTreeMap::new();
     for server in servers {
         let best = candidates
@@ -83,6 +83,6 @@
 /// Whether a node is among the first `count` that rendezvous hashing names
 /// for a name; `others` may contain the node itself.
 pub fn is_in_rendezvous_top(node: NodeId, name_hash: u64, others: impl Iterator<Item = NodeId>, count: usize) -> bool {
-    let own = stable_pair_hash(node.0, name_hash);
-    others.filter(|other| stable_pair_hash(other.0, name_hash) > own).take(count).count() < count
+    let own_hash = stable_pair_hash(node.0, name_hash);
+    others.filter(|other| stable_pair_hash(other.0, name_hash) > own_hash).take(count).count() < count
 }
--- a/crates/core/src/placement.rs
+++ b/crates/core/src/placement.rs
@@ -14,18 +14,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OrderLease {
     epoch: u64,
-    until: Instant,
+    expires_at: Instant,
 }
 
 impl OrderLease {
-    /// A lease whose request was sent at `asked_at`: it counts from there.
-    pub fn new(epoch: u64, asked_at: Instant, length: Duration) -> Self {
-        Self { epoch, until: asked_at + length.saturating_sub(LEASE_MARGIN) }
+    /// A lease whose request was sent at `requested_at`: it counts from there.
+    pub fn new(epoch: u64, requested_at: Instant, length: Duration) -> Self {
+        Self { epoch, expires_at: requested_at + length.saturating_sub(LEASE_MARGIN) }
     }
 
     /// The epoch to put on an order, or `None` once the lease has lapsed.
     pub fn epoch_at(&self, now: Instant) -> Option<u64> {
-        (now < self.until).then_some(self.epoch)
+        (now < self.expires_at).then_some(self.epoch)
     }
 }
 
--- a/crates/core/src/prefix.rs
+++ b/crates/core/src/prefix.rs
@@ -12,7 +12,7 @@
 /// Most blocks of one prompt that are hashed.
 pub const MAX_PROMPT_BLOCKS: usize = 128;
 /// Most blocks remembered per server; older ones are dropped first.
-const BLOCKS_PER_SERVER: usize = 4096;
+const MAX_BLOCKS_PER_SERVER: usize = 4096;
 
 /// Chained hashes of the prompt's whole blocks.
 pub fn block_hashes(prompt: &[u8]) -> Vec<u64> {
@@ -29,7 +29,7 @@
 
 #[derive(Debug, Default)]
 struct ServerBlocks {
-    known: HashKeyMap<u64, ()>,
+    cached: HashKeyMap<u64, ()>,
     order: VecDeque<u64>,
     next_event: u64,
     stale: bool,
@@ -93,7 +93,7 @@
     /// the known prefix is found by halving.
     pub fn matched(&self, server: ServerId, blocks: &[u64]) -> usize {
         match self.servers.get(&server) {
-            Some(entry) if !entry.stale => blocks.partition_point(|block| entry.known.contains_key(block)),
+            Some(entry) if !entry.stale => blocks.partition_point(|block| entry.cached.contains_key(block)),
             _ => 0,
         }
     }
@@ -105,13 +105,13 @@
     /// its events tell.
     fn insert(&mut self, blocks: &[u64]) {
         for block in blocks {
-            if self.known.insert(*block, ()).is_none() {
+            if self.cached.insert(*block, ()).is_none() {
                 self.order.push_back(*block);
             }
         }
-        while self.order.len() > BLOCKS_PER_SERVER {
+        while self.order.len() > MAX_BLOCKS_PER_SERVER {
             if let Some(oldest) = self.order.pop_front() {
-                self.known.remove(&oldest);
+                self.cached.remove(&oldest);
             }
         }
     }
@@ -119,16 +119,16 @@
     fn remove(&mut self, blocks: &[u64]) {
         let mut removed = false;
         for block in blocks {
-            removed |= self.known.remove(block).is_some();
+            removed |= self.cached.remove(block).is_some();
         }
         if removed {
-            let known = &self.known;
-            self.order.retain(|block| known.contains_key(block));
+            let cached = &self.cached;
+            self.order.retain(|block| cached.contains_key(block));
         }
     }
 
     fn clear(&mut self) {
-        self.known.clear();
+        self.cached.clear();
         self.order.clear();
     }
 }
--- a/crates/core/src/routes.rs
+++ b/crates/core/src/routes.rs
@@ -127,7 +127,7 @@
     by_host: HashMap<String, Vec<Arc<Route>>>,
     precedences: HashMap<RouteKey, u32>,
     /// Services with requests of different precedence by their routes alone.
-    of_mixed_precedence: HashSet<Arc<str>>,
+    mixed_precedence_services: HashSet<Arc<str>>,
     shortest_target: Duration,
 }
 
@@ -143,7 +143,7 @@
         let mut by_host: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         let routes: Vec<Route> = routes.into_iter().collect();
         let precedences = routes.iter().map(|route| (RouteKey::of(&route.name), route.precedence)).collect();
-        let of_mixed_precedence = of_mixed_precedence(&routes);
+        let mixed_precedence_services = mixed_precedence_services(&routes);
         let shortest_target = routes.iter().map(|route| route.latency_target).min().unwrap_or_default();
         for route in routes {
             by_host.entry(route.host.clone()).or_default().push(Arc::new(route));
@@ -151,7 +151,7 @@
         for routes in by_host.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
-        Self { version, limits, services, tenants, by_host, precedences, of_mixed_precedence, shortest_target }
+        Self { version, limits, services, tenants, by_host, precedences, mixed_precedence_services, shortest_target }
     }
 
     /// The route of a request: of those of its host, the one with the longest
@@ -190,14 +190,14 @@
     /// Whether requests for a service get its slots in an order that the table gives:
     /// there are tenants, which share them, or its routes differ in precedence.
     pub fn orders_requests(&self, service: &str) -> bool {
-        !self.tenants.is_empty() || self.of_mixed_precedence.contains(service)
+        !self.tenants.is_empty() || self.mixed_precedence_services.contains(service)
     }
 
     /// Precedence of a tenant's requests on a route, the tenant's own before the route's;
     /// `None` if the table knows neither.
     pub fn precedence(&self, tenant: TenantKey, route: RouteKey) -> Option<u32> {
-        let of_tenant = self.tenants.get(tenant).and_then(|tenant| tenant.precedence);
-        of_tenant.or_else(|| self.precedences.get(&route).copied())
+        let tenant_precedence = self.tenants.get(tenant).and_then(|tenant| tenant.precedence);
+        tenant_precedence.or_else(|| self.precedences.get(&route).copied())
     }
 
     /// Whether batch jobs of a host need no key.
@@ -219,7 +219,7 @@
 
 /// Services whose requests differ in precedence. Batch jobs are no requests: they give way
 /// to all of these.
-fn of_mixed_precedence(routes: &[Route]) -> HashSet<Arc<str>> {
+fn mixed_precedence_services(routes: &[Route]) -> HashSet<Arc<str>> {
     let mut first: HashMap<&Arc<str>, u32> = HashMap::new();
     let mut mixed = HashSet::new();
     for route in routes.iter().filter(|route| route.kind != RequestKind::Batch) {
@@ -236,11 +236,11 @@
 /// any moment (smooth weighted round robin).
 #[derive(Debug, Default)]
 pub struct WeightedRoundRobin {
-    routes: HashMap<Arc<str>, Vec<Turn>>,
+    routes: HashMap<Arc<str>, Vec<TargetCredit>>,
 }
 
 #[derive(Debug)]
-struct Turn {
+struct TargetCredit {
     target: WeightedService,
     credit: f64,
 }
@@ -251,17 +251,18 @@
         if let [only] = route.targets.as_slice() {
             return Some(only.service.clone());
         }
-        let turns = self.routes.entry(route.name.clone()).or_default();
-        let unchanged = turns.len() == route.targets.len()
-            && turns.iter().zip(&route.targets).all(|(turn, target)| turn.target == *target);
+        let credits = self.routes.entry(route.name.clone()).or_default();
+        let unchanged = credits.len() == route.targets.len()
+            && credits.iter().zip(&route.targets).all(|(entry, target)| entry.target == *target);
         if !unchanged {
-            *turns = route.targets.iter().map(|target| Turn { target: target.clone(), credit: 0.0 }).collect();
+            *credits =
+                route.targets.iter().map(|target| TargetCredit { target: target.clone(), credit: 0.0 }).collect();
         }
-        let total: f64 = turns.iter().map(|turn| turn.target.weight).sum();
-        for turn in turns.iter_mut() {
-            turn.credit += turn.target.weight;
+        let total: f64 = credits.iter().map(|entry| entry.target.weight).sum();
+        for entry in credits.iter_mut() {
+            entry.credit += entry.target.weight;
         }
-        let chosen = turns.iter_mut().max_by(|first, second| first.credit.total_cmp(&second.credit))?;
+        let chosen = credits.iter_mut().max_by(|first, second| first.credit.total_cmp(&second.credit))?;
         chosen.credit -= total;
         Some(chosen.target.service.clone())
     }
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -9,11 +9,11 @@
 use std::collections::{HashMap, VecDeque};
 
 /// A matched prefix block is worth as much as this share of a free slot.
-const BLOCK_WORTH: f64 = 0.125;
+const SCORE_PER_BLOCK: f64 = 0.125;
 /// A remote owner must have this much more room to be preferred.
 const FORWARD_MARGIN: f64 = 2.0;
 /// Prefix blocks remembered per node for the choice of an owner.
-const AFFINITY_LIMIT: usize = 65_536;
+const MAX_AFFINITY_BLOCKS: usize = 65_536;
 
 /// What is known of an owner's room for one service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -47,7 +47,7 @@
                 self.order.push_back(*block);
             }
         }
-        while self.order.len() > AFFINITY_LIMIT {
+        while self.order.len() > MAX_AFFINITY_BLOCKS {
             if let Some(oldest) = self.order.pop_front() {
                 self.owners.remove(&oldest);
             }
@@ -72,19 +72,21 @@
     affinity: Option<(NodeId, usize)>,
     random: &mut impl Rng,
 ) -> Option<NodeId> {
-    let worth = |room: &OwnerLoad| match affinity {
-        Some((owner, blocks)) if owner == room.node && room.queued == 0 => room.score() + blocks as f64 * BLOCK_WORTH,
-        _ => room.score(),
+    let total_score = |load: &OwnerLoad| match affinity {
+        Some((owner, blocks)) if owner == load.node && load.queued == 0 => {
+            load.score() + blocks as f64 * SCORE_PER_BLOCK
+        }
+        _ => load.score(),
     };
-    let mut best = own.map(|room| (room.node, worth(&room) + FORWARD_MARGIN));
-    let mut consider = |room: &OwnerLoad| {
-        let value = worth(room);
-        if best.is_none_or(|(_, present)| value > present) {
-            best = Some((room.node, value));
+    let mut best = own.map(|load| (load.node, total_score(&load) + FORWARD_MARGIN));
+    let mut consider = |load: &OwnerLoad| {
+        let score = total_score(load);
+        if best.is_none_or(|(_, best_score)| score > best_score) {
+            best = Some((load.node, score));
         }
     };
     if let Some((owner, _)) = affinity {
-        others.iter().filter(|room| room.node == owner).for_each(&mut consider);
+        others.iter().filter(|load| load.node == owner).for_each(&mut consider);
     }
     if !others.is_empty() {
         for _ in 0..2 {
--- a/crates/core/tests/directory.rs
+++ b/crates/core/tests/directory.rs
@@ -21,7 +21,7 @@
 }
 
 /// A directory whose store has answered for long.
-fn sound() -> Directory {
+fn directory_with_reachable_store() -> Directory {
     let mut directory = Directory::default();
     directory.note_store(at(10_000.0), Some(Duration::from_secs(10_000)));
     directory
@@ -35,14 +35,14 @@
 
 #[test]
 fn a_heartbeat_alone_is_no_change() {
-    let mut directory = sound();
+    let mut directory = directory_with_reachable_store();
     assert!(matches!(directory.note_record(record("a", false, 1)), Some(DirectoryChange::Ready(_))));
     assert_eq!(directory.note_record(record("a", false, 2)), None);
 }
 
 #[test]
 fn a_draining_server_never_becomes_ready_again() {
-    let mut directory = sound();
+    let mut directory = directory_with_reachable_store();
     directory.note_record(record("a", false, 1));
     assert_eq!(directory.note_record(record("a", true, 2)), Some(DirectoryChange::Draining("a".into())));
     assert_eq!(directory.note_record(record("a", false, 3)), None);
@@ -51,7 +51,7 @@
 
 #[test]
 fn a_vanished_registration_means_a_leaving_server() {
-    let mut directory = sound();
+    let mut directory = directory_with_reachable_store();
     directory.note_record(record("a", false, 5));
     assert_eq!(directory.note_vanished(at(10.0), "a"), Some(DirectoryChange::Gone("a".into())));
     assert!(ready(&directory).is_empty());
@@ -59,7 +59,7 @@
 
 #[test]
 fn a_late_heartbeat_does_not_bring_a_gone_server_back() {
-    let mut directory = sound();
+    let mut directory = directory_with_reachable_store();
     directory.note_record(record("a", false, 5));
     directory.note_vanished(at(10.0), "a");
     assert_eq!(directory.note_record(record("a", false, 4)), None);
@@ -69,8 +69,8 @@
 }
 
 #[test]
-fn a_registration_that_lapses_in_an_outage_is_kept_until_it_had_time_to_return() {
-    let mut directory = sound();
+fn a_registration_missing_after_an_outage_is_kept_for_the_grace_period() {
+    let mut directory = directory_with_reachable_store();
     directory.note_record(record("alive", false, 1));
     directory.note_record(record("dead", false, 1));
     directory.note_record(record("leaving", true, 1));
@@ -93,8 +93,8 @@
 /// A node that hears of the store's return late has less time left, not more:
 /// what vanishes after the grace is gone at once.
 #[test]
-fn the_grace_counts_from_the_return_of_the_store_and_not_from_the_news_of_it() {
-    let mut directory = sound();
+fn the_grace_period_starts_at_the_return_of_the_store_not_at_its_detection() {
+    let mut directory = directory_with_reachable_store();
     directory.note_record(record("a", false, 1));
     directory.note_record(record("b", false, 1));
     directory.note_store(at(9.0), None);
@@ -106,8 +106,8 @@
 }
 
 #[test]
-fn a_list_replaces_what_was_believed() {
-    let mut directory = sound();
+fn a_full_list_replaces_all_records() {
+    let mut directory = directory_with_reachable_store();
     directory.note_record(record("a", false, 1));
     directory.note_record(record("b", false, 1));
     directory.replace_all(at(20.0), vec![record("b", false, 2), record("c", false, 1)]);
--- a/crates/core/tests/routes.rs
+++ b/crates/core/tests/routes.rs
@@ -59,12 +59,12 @@
 }
 
 #[test]
-fn weights_changed_by_the_operator_count_at_once() {
-    let mut turns = WeightedRoundRobin::default();
+fn changed_weights_apply_at_once() {
+    let mut round_robin = WeightedRoundRobin::default();
     let before = route("r", "a.example", "/", &[("s", 90.0), ("t", 10.0)]);
-    (0..7).for_each(|_| drop(turns.next(&before)));
+    (0..7).for_each(|_| drop(round_robin.next(&before)));
     let after = route("r", "a.example", "/", &[("s", 0.0), ("t", 10.0)]);
-    assert!((0..20).all(|_| turns.next(&after).as_deref() == Some("t")));
+    assert!((0..20).all(|_| round_robin.next(&after).as_deref() == Some("t")));
 }
 
 proptest! {
@@ -75,10 +75,10 @@
         let targets: Vec<(&str, f64)> =
             names.iter().zip(&weights).map(|(name, weight)| (name.as_str(), f64::from(*weight))).collect();
         let route = route("r", "a.example", "/", &targets);
-        let mut turns = WeightedRoundRobin::default();
+        let mut round_robin = WeightedRoundRobin::default();
         let mut counts: HashMap<Arc<str>, usize> = HashMap::new();
         for _ in 0..requests {
-            *counts.entry(turns.next(&route).unwrap()).or_default() += 1;
+            *counts.entry(round_robin.next(&route).unwrap()).or_default() += 1;
         }
         let total: u32 = weights.iter().sum();
         for (name, weight) in names.iter().zip(&weights) {
@@ -95,13 +95,13 @@
 }
 
 #[test]
-fn requests_are_ordered_only_where_the_table_tells_them_apart() {
-    let with = |name: &str, service: &str, precedence| Route {
+fn requests_are_ordered_only_with_tenants_or_mixed_precedence() {
+    let route_with = |name: &str, service: &str, precedence| Route {
         precedence,
         ..route(name, "a", &format!("/{name}/"), &[(service, 1.0)])
     };
-    let batch = Route { kind: RequestKind::Batch, ..with("jobs", "even", 9) };
-    let routes = vec![with("x", "mixed", 0), with("y", "mixed", 1), with("z", "even", 1), batch];
+    let batch = Route { kind: RequestKind::Batch, ..route_with("jobs", "even", 9) };
+    let routes = vec![route_with("x", "mixed", 0), route_with("y", "mixed", 1), route_with("z", "even", 1), batch];
     let without_tenants = table(routes.clone());
     assert!(without_tenants.orders_requests("mixed"));
     assert!(!without_tenants.orders_requests("even"), "batch jobs give way in any case");
