--- a/crates/core/src/routes.rs
+++ b/crates/core/src/routes.rs
@@ -1,8 +1,7 @@
-//! The routing table: which route a request takes, and to which service.
+//! Routing table: maps the host and path of a request to a route and its services.
 //!
-//! An operator writes the table as one document with a version. Versions only
-//! rise: a table is never replaced by one that is not newer, so that no
-//! request is handled by a configuration older than one already in force.
+//! The operator publishes the table as one versioned document. A table is replaced only
+//! by one with a higher version, so a request never uses an outdated configuration.
 
 use crate::dispatch::RouteKey;
 use crate::tenants::{Tenant, TenantKey, Tenants, UnknownKey};
@@ -10,95 +9,95 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Attempts of a route that names no limit.
+/// Maximum attempts of a route that sets no limit.
 pub const DEFAULT_MAX_ATTEMPTS: u32 = 2;
 
-/// What may be repeated of a request.
+/// Kind of a request; decides whether it may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestKind {
     /// May run more than once.
     Idempotent,
     /// May run at most once.
     AtMostOnce,
-    /// Answered by events; `resumable` ones may go on at another server.
+    /// Answered by a stream of events.
     Stream {
-        /// Whether another server can go on after the last event.
+        /// Whether another server can continue after the last event.
         resumable: bool,
     },
-    /// Hands in batch jobs.
+    /// Submits batch jobs.
     Batch,
 }
 
 impl RequestKind {
-    /// Whether a request that may have run can be sent again from its start.
+    /// Whether a request that may have run can be sent again from the start.
     pub fn is_repeatable(self) -> bool {
         matches!(self, RequestKind::Idempotent | RequestKind::Stream { resumable: true })
     }
 }
 
-/// A service with its share of a route's requests.
+/// A service and its share of a route's requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedService {
-    /// Name of the service.
+    /// Service name.
     pub service: Arc<str>,
     /// Share relative to the other services of the route.
     pub weight: f64,
 }
 
-/// One route.
+/// Rules for the requests of one host and path prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Name, unique in the table.
     pub name: Arc<str>,
-    /// Host that the request names.
+    /// Host of the request.
     pub host: String,
-    /// Beginning of the path; starts and ends with a slash.
+    /// Path prefix; starts and ends with a slash.
     pub prefix: String,
-    /// What may be repeated.
+    /// Kind of the requests.
     pub kind: RequestKind,
-    /// Longest time that a request may be held.
+    /// Maximum time to handle a request.
     pub timeout: Duration,
-    /// Time within which an answer is in time.
+    /// Latency within which an answer counts as on time.
     pub latency_target: Duration,
-    /// Precedence of its requests; zero goes first. A tenant's own counts in its place.
+    /// Precedence of the requests; zero is the highest. A tenant's precedence overrides it.
     pub precedence: u32,
-    /// Whether callers need no key.
+    /// Whether callers may omit the key.
     pub public: bool,
-    /// Services that take the requests; at least one.
+    /// Services that handle the requests; at least one.
     pub targets: Vec<WeightedService>,
-    /// Most servers to which one request may be sent.
+    /// Maximum number of servers to which one request is sent.
     pub max_attempts: u32,
-    /// Longest pause between events that is in time.
+    /// Gap between events within which a stream counts as on time.
     pub gap_target: Option<Duration>,
-    /// Time without an event after which callers leave, if that is known.
+    /// Time without an event after which callers disconnect, if defined.
     pub caller_timeout: Option<Duration>,
-    /// Time after a job's arrival at which its results are due.
+    /// Time from the arrival of a job to its deadline.
     pub due: Duration,
-    /// Time after a job's arrival at which its items may be given up.
+    /// Time from the arrival of a job after which its items may be dropped.
     pub retention: Duration,
-    /// Tokens of unfinished items that may wait over all nodes; zero is no limit.
+    /// Maximum tokens of unfinished items queued on all nodes; zero means no limit.
     pub queued_token_limit: u64,
 }
 
-/// What the operator tells of a service.
+/// Settings of a service.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ServiceDefinition {
     /// Path of the health check.
     pub health_path: String,
-    /// Connections that one of its servers takes from all callers together.
+    /// Maximum connections to one server of the service, from all callers together.
     pub max_connections: u32,
 }
 
-/// Bounds on what a client may send.
+/// Limits on client connections and requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request head in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request body in bytes.
     pub body_bytes: usize,
-    /// Time in which a request's head must arrive.
+    /// Time within which the request head must arrive.
     pub header_timeout: Duration,
-    /// Time that a connection may rest.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
@@ -113,26 +112,26 @@
     }
 }
 
-/// All routes and services of one version.
+/// Routes, services and tenants of one version.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RoutingTable {
     /// Version; a newer table has a higher one.
     pub version: u64,
-    /// Bounds on clients.
+    /// Client limits.
     pub limits: ClientLimits,
     /// Services by name.
     pub services: HashMap<Arc<str>, ServiceDefinition>,
-    /// Who may ask.
+    /// Tenants and the keys of their callers.
     pub tenants: Tenants,
     by_host: HashMap<String, Vec<Arc<Route>>>,
     precedences: HashMap<RouteKey, u32>,
-    /// Services with requests of different precedence by their routes alone.
+    /// Services whose routes differ in precedence.
     mixed_precedence_services: HashSet<Arc<str>>,
     shortest_target: Duration,
 }
 
 impl RoutingTable {
-    /// A table of these routes.
+    /// Creates a table with these routes.
     pub fn new(
         version: u64,
         limits: ClientLimits,
@@ -154,8 +153,7 @@
         Self { version, limits, services, tenants, by_host, precedences, mixed_precedence_services, shortest_target }
     }
 
-    /// The route of a request: of those of its host, the one with the longest
-    /// prefix that begins the path.
+    /// The route of the host with the longest prefix of the path.
     pub fn find(&self, host: &str, path: &str) -> Option<Arc<Route>> {
         let routes = self.by_host.get(host)?;
         routes.iter().find(|route| path.starts_with(&route.prefix)).cloned()
@@ -166,16 +164,16 @@
         self.shortest_target
     }
 
-    /// The route of that name.
+    /// The route with this name.
     pub fn named(&self, name: &str) -> Option<Arc<Route>> {
         self.by_host.values().flatten().find(|route| &*route.name == name).cloned()
     }
 
-    /// The tenant that a caller with this key acts for: none where the table
-    /// knows no tenants, or where the key is not needed and not known.
+    /// The tenant of the caller's key. `None` if the table has no tenants, or if `public`
+    /// is set and no tenant has the key.
     ///
     /// # Errors
-    /// [`UnknownKey`] if the key is needed and no tenant has it.
+    /// [`UnknownKey`] if a key is required and no tenant has it.
     pub fn authenticate(&self, key: Option<&str>, public: bool) -> Result<Option<Arc<Tenant>>, UnknownKey> {
         if self.tenants.is_empty() {
             return Ok(None);
@@ -187,26 +185,26 @@
         }
     }
 
-    /// Whether requests for a service get its slots in an order that the table gives:
-    /// there are tenants, which share them, or its routes differ in precedence.
+    /// Whether the table orders the requests of a service: it has tenants, or the routes
+    /// of the service differ in precedence.
     pub fn orders_requests(&self, service: &str) -> bool {
         !self.tenants.is_empty() || self.mixed_precedence_services.contains(service)
     }
 
-    /// Precedence of a tenant's requests on a route, the tenant's own before the route's;
-    /// `None` if the table knows neither.
+    /// Precedence of a tenant's requests on a route. The tenant's precedence overrides the
+    /// route's; `None` if the table has neither.
     pub fn precedence(&self, tenant: TenantKey, route: RouteKey) -> Option<u32> {
         let tenant_precedence = self.tenants.get(tenant).and_then(|tenant| tenant.precedence);
         tenant_precedence.or_else(|| self.precedences.get(&route).copied())
     }
 
-    /// Whether batch jobs of a host need no key.
+    /// Whether batch jobs of a host may be submitted without a key.
     pub fn has_public_jobs(&self, host: &str) -> bool {
         let mut routes = self.by_host.get(host).into_iter().flatten();
         routes.any(|route| route.kind == RequestKind::Batch && route.public)
     }
 
-    /// Whether any route knows the host.
+    /// Whether any route has this host.
     pub fn has_host(&self, host: &str) -> bool {
         self.by_host.contains_key(host)
     }
@@ -217,8 +215,8 @@
     }
 }
 
-/// Services whose requests differ in precedence. Batch jobs are no requests: they give way
-/// to all of these.
+/// Services whose online routes differ in precedence. Batch routes are left out: every
+/// online request preempts batch jobs.
 fn mixed_precedence_services(routes: &[Route]) -> HashSet<Arc<str>> {
     let mut first: HashMap<&Arc<str>, u32> = HashMap::new();
     let mut mixed = HashSet::new();
@@ -232,8 +230,8 @@
     mixed
 }
 
-/// Divides a route's requests among its services by their weights, evenly at
-/// any moment (smooth weighted round robin).
+/// Distributes the requests of a route over its services by weight (smooth weighted
+/// round robin).
 #[derive(Debug, Default)]
 pub struct WeightedRoundRobin {
     routes: HashMap<Arc<str>, Vec<TargetCredit>>,
@@ -246,7 +244,7 @@
 }
 
 impl WeightedRoundRobin {
-    /// The service that takes the next request of the route.
+    /// Selects the service for the next request of the route; `None` without services.
     pub fn next(&mut self, route: &Route) -> Option<Arc<str>> {
         if let [only] = route.targets.as_slice() {
             return Some(only.service.clone());
