--- a/crates/core/src/ownership.rs
+++ b/crates/core/src/ownership.rs
@@ -1,37 +1,38 @@
-//! Which node owns which server: rendezvous hashing with a bound on the
-//! share. Ownership is for efficiency only; no promise depends on it.
+//! Assigns servers to owner nodes by rendezvous hashing with bounded loads.
+//!
+//! Ownership serves efficiency only; correctness does not depend on it.
 
 use crate::identity::{stable_pair_hash, NodeId, ServerId};
 use std::collections::BTreeMap;
 
-/// A node may own at most this many times the mean share, rounded up
-/// (bounded loads: Mirrokni et al., "Consistent Hashing with Bounded Loads").
+/// Maximum share of a node as a multiple of the mean, rounded up to whole servers
+/// (Mirrokni et al., "Consistent Hashing with Bounded Loads").
 const MAX_SHARE_FACTOR: f64 = 1.25;
 
 /// A node that may own servers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnerCandidate {
-    /// The node.
+    /// Node identity.
     pub node: NodeId,
-    /// Its zone.
+    /// Zone of the node.
     pub zone: String,
-    /// Its region.
+    /// Region of the node.
     pub region: String,
 }
 
-/// A server to be owned.
+/// A server that needs an owner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OwnedServer {
-    /// The server.
+    /// Server identity.
     pub server: ServerId,
-    /// Its zone.
+    /// Zone of the server.
     pub zone: String,
-    /// Its region.
+    /// Region of the server.
     pub region: String,
 }
 
-/// Assigns each server to a live node of its zone, or of its region where the
-/// zone has none. A server whose region has no live node has no owner.
+/// Assigns each server to one of the live `nodes` of its zone, or of its region if the zone
+/// has none. A server whose region has no live node gets no owner.
 pub fn assign(nodes: &[OwnerCandidate], servers: &[OwnedServer]) -> BTreeMap<ServerId, NodeId> {
     let mut by_candidates: BTreeMap<Vec<NodeId>, Vec<ServerId>> = BTreeMap::new();
     for server in servers {
@@ -75,13 +76,13 @@
     }
 }
 
-/// The node that is home of a name (a row's limit, for instance) among nodes.
+/// The node that rendezvous hashing selects for a name; `None` without nodes.
 pub fn rendezvous_first(name_hash: u64, nodes: impl Iterator<Item = NodeId>) -> Option<NodeId> {
     nodes.max_by_key(|node| stable_pair_hash(node.0, name_hash))
 }
 
-/// Whether a node is among the first `count` that rendezvous hashing names
-/// for a name; `others` may contain the node itself.
+/// Whether `node` is among the first `count` nodes in the rendezvous order of a name;
+/// `others` may contain the node itself.
 pub fn is_in_rendezvous_top(node: NodeId, name_hash: u64, others: impl Iterator<Item = NodeId>, count: usize) -> bool {
     let own_hash = stable_pair_hash(node.0, name_hash);
     others.filter(|other| stable_pair_hash(other.0, name_hash) > own_hash).take(count).count() < count
--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -1,28 +1,28 @@
-//! Choice of the owner that gets an online request.
+//! Chooses the owner node that handles an online request.
 //!
-//! The node's own servers come first; another owner is chosen where it has
-//! the longer cached prefix, the service, or clearly more room. Among others
-//! the choice is power of two choices over the owners' summaries.
+//! The node prefers its own servers, unless another owner has a clearly better score from
+//! free slots, queue length and cached prefix. Candidates are the owner of the longest
+//! cached prefix and two owners picked at random (power of two choices).
 
 use crate::identity::NodeId;
 use rand::Rng;
 use std::collections::{HashMap, VecDeque};
 
-/// A matched prefix block is worth as much as this share of a free slot.
+/// Score of a cached prefix block, in free slots.
 const SCORE_PER_BLOCK: f64 = 0.125;
-/// A remote owner must have this much more room to be preferred.
+/// Score, in free slots, by which a remote owner must exceed the local node.
 const FORWARD_MARGIN: f64 = 2.0;
-/// Prefix blocks remembered per node for the choice of an owner.
+/// Maximum number of prefix blocks in [`Affinity`].
 const MAX_AFFINITY_BLOCKS: usize = 65_536;
 
-/// What is known of an owner's room for one service.
+/// Load of an owner for one service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnerLoad {
-    /// The owner.
+    /// Owner node.
     pub node: NodeId,
-    /// Online requests that it could start now.
+    /// Free slots for online requests.
     pub free: u32,
-    /// Online requests that wait at it.
+    /// Online requests in its queue.
     pub queued: u32,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Remembers which owner served a prefix last.
+/// Maps prompt prefixes to the owner that served them last.
 #[derive(Debug, Default)]
 pub struct Affinity {
     owners: HashMap<u64, NodeId>,
@@ -40,7 +40,7 @@
 }
 
 impl Affinity {
-    /// Notes that `owner` got a prompt with these blocks.
+    /// Records that a prompt with these blocks was sent to `owner`.
     pub fn note(&mut self, blocks: &[u64], owner: NodeId) {
         for block in blocks {
             if self.owners.insert(*block, owner).is_none() {
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The owner of the longest known prefix, with its length in blocks.
+    /// Owner of the longest recorded prefix, and its length in blocks.
     pub fn longest(&self, blocks: &[u64]) -> Option<(NodeId, usize)> {
         blocks
             .iter()
@@ -64,8 +64,7 @@
     }
 }
 
-/// Chooses an owner among `own` and `others`; `None` where nobody has the
-/// service.
+/// Chooses the local node (`own`) or one of `others`; `None` if no owner has the service.
 pub fn choose_owner(
     own: Option<OwnerLoad>,
     others: &[OwnerLoad],
