--- a/crates/core/src/directory.rs
+++ b/crates/core/src/directory.rs
@@ -1,19 +1,14 @@
-//! The directory of model servers: what a node believes of each.
+//! Directory of the registered model servers.
 //!
-//! Servers register themselves in a shared record store and write their
-//! registration anew at each heartbeat. Two facts bind the directory:
+//! Servers register in a shared record store and renew the registration at each heartbeat.
 //!
-//! - A server that is told to be draining never becomes ready again: every
-//!   start of a server has an identity of its own.
-//! - A registration that vanishes means a server that is leaving, but only
-//!   while the record store is sound: an outage can make registrations lapse
-//!   although their servers serve on. Such a server is kept until the store
-//!   has answered for [`LAPSE_GRACE`], in which a live one writes its
-//!   registration again.
+//! - A draining server never becomes ready again: each start of a server has a new identity.
+//! - A missing registration means that the server has left, unless it may have expired
+//!   during an outage of the record store. Such a server is kept until the store has
+//!   answered for [`LAPSE_GRACE`], within which a live server registers again.
 //!
-//! The grace counts from the time at which the store is known to answer again,
-//! not from the time at which this node noticed: no pause of a node and no
-//! upstream on the way lengthens it.
+//! The grace period starts when the store answers again, not when this node detects it, so
+//! delays in the node or an upstream don't extend it.
 
 use crate::lapse_grace::LapseGrace;
 use crate::time::Instant;
@@ -21,43 +16,41 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Time after the return of the record store in which a live server registers
-/// itself again: about two seconds by the platform's word, and half a second
-/// until its registration is heard of at every node.
+/// Time after an outage of the record store within which every node receives the new
+/// registration of a live server: two seconds to register, half a second to propagate.
 pub const LAPSE_GRACE: Duration = Duration::from_millis(2500);
-/// Identities of ended servers that are remembered, so that a late heartbeat
-/// doesn't bring them back.
+/// Maximum number of removed servers whose sequence is stored to reject late heartbeats.
 const MAX_REMOVED_IDS: usize = 4096;
 
-/// A server as it registered itself.
+/// Registration of a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServerRecord {
-    /// Identity of this start of the server.
+    /// Identity, unique to each start of the server.
     pub id: Arc<str>,
-    /// Service that it belongs to.
+    /// Service that the server belongs to.
     pub service: Arc<str>,
-    /// Address, IP and port.
+    /// IP address and port.
     pub address: Arc<str>,
     /// Zone.
     pub zone: Arc<str>,
-    /// Requests that it works on at a time.
+    /// Number of requests that the server handles concurrently.
     pub slots: u32,
-    /// Whether it takes no new work.
+    /// Whether the server accepts no new work.
     pub draining: bool,
-    /// Number of the registration, rising.
+    /// Sequence number of the registration; rises with each renewal.
     pub sequence: u64,
 }
 
-/// A change of what is believed of a server.
+/// A change in the directory.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DirectoryChange {
-    /// It takes work.
+    /// The server accepts work.
     Ready(ServerRecord),
-    /// It takes no new work, but serves what it has.
+    /// The server accepts no new work and finishes its running requests.
     Draining(Arc<str>),
-    /// Its registration is gone.
+    /// The server was removed.
     Gone(Arc<str>),
-    /// Its registration vanished in an outage; it is kept for now.
+    /// The registration is missing after an outage; the server is kept for the grace period.
     Unconfirmed(Arc<str>),
 }
 
@@ -67,7 +60,7 @@
     vanished: bool,
 }
 
-/// What is believed of all servers.
+/// Registered servers of all services.
 #[derive(Debug)]
 pub struct Directory {
     entries: HashMap<Arc<str>, Entry>,
@@ -82,12 +75,12 @@
 }
 
 impl Directory {
-    /// The record store does not answer, or has answered for that time.
+    /// Records for how long the store has answered; `None` if it does not answer.
     pub fn note_store(&mut self, now: Instant, answering_for: Option<Duration>) {
         self.lapse.note_store(now, answering_for);
     }
 
-    /// A server's registration was seen.
+    /// Adds or updates a server from its registration; returns the change, if any.
     pub fn note_record(&mut self, record: ServerRecord) -> Option<DirectoryChange> {
         if self.removed.get(&record.id).is_some_and(|sequence| record.sequence <= *sequence) {
             return None;
@@ -114,7 +107,7 @@
         }
     }
 
-    /// A server's registration has vanished.
+    /// Handles a missing registration: removes the server, or keeps it for the grace period.
     pub fn note_vanished(&mut self, now: Instant, id: &str) -> Option<DirectoryChange> {
         let entry = self.entries.get_mut(id)?;
         if self.lapse.may_have_lapsed(now) && !entry.record.draining {
@@ -124,7 +117,7 @@
         self.remove(id)
     }
 
-    /// All registrations at one moment.
+    /// Replaces the registrations by a full list and returns the changes.
     pub fn replace_all(&mut self, now: Instant, records: Vec<ServerRecord>) -> Vec<DirectoryChange> {
         let present: std::collections::HashSet<Arc<str>> = records.iter().map(|record| record.id.clone()).collect();
         let missing: Vec<Arc<str>> = self.entries.keys().filter(|id| !present.contains(*id)).cloned().collect();
@@ -134,14 +127,14 @@
         changes
     }
 
-    /// When a server is to be given up whose vanished registration does not
-    /// return; `None` while there is none, or while the store is away.
+    /// Time at which servers with a missing registration are removed; `None` if there are
+    /// none, or while the store is unreachable.
     pub fn next_removal(&self) -> Option<Instant> {
         let vanished = self.entries.values().any(|entry| entry.vanished);
         self.lapse.end().filter(|_| vanished)
     }
 
-    /// Time passes: ends servers whose vanished registration did not return.
+    /// Removes servers whose registration is still missing after the grace period.
     pub fn tick(&mut self, now: Instant) -> Vec<DirectoryChange> {
         if self.lapse.may_have_lapsed(now) {
             return Vec::new();
@@ -151,7 +144,7 @@
         vanished.iter().filter_map(|id| self.remove(id)).collect()
     }
 
-    /// Servers that take new work.
+    /// Servers that accept new work.
     pub fn ready(&self) -> impl Iterator<Item = &ServerRecord> {
         self.entries.values().map(|entry| &entry.record).filter(|record| !record.draining)
     }
