--- a/crates/core/src/prefix.rs
+++ b/crates/core/src/prefix.rs
@@ -1,20 +1,20 @@
-//! Index of cached prompt prefixes by hashes of token blocks.
+//! Index of the prompt prefixes cached at each server.
 //!
-//! Each block's hash covers all blocks before it, so equal hashes mean equal
-//! prefixes. An owner fills the index from what it sent and corrects it by
-//! the engines' events, which come late and with gaps.
+//! The hash of a block covers all blocks before it, so equal hashes mean equal prefixes.
+//! An owner adds the prompts that it sends and corrects the index from the cache events
+//! of the engines, which may be delayed or lost.
 
 use crate::identity::{stable_hash, stable_pair_hash, HashKeyMap, ServerId};
 use std::collections::VecDeque;
 
-/// Bytes of prompt text per block: 16 tokens at about 4 bytes each.
+/// Bytes of prompt text per block: about 16 tokens.
 pub const BLOCK_BYTES: usize = 64;
-/// Most blocks of one prompt that are hashed.
+/// Maximum number of blocks hashed per prompt.
 pub const MAX_PROMPT_BLOCKS: usize = 128;
-/// Most blocks remembered per server; older ones are dropped first.
+/// Maximum number of blocks stored per server; the oldest are dropped first.
 const MAX_BLOCKS_PER_SERVER: usize = 4096;
 
-/// Chained hashes of the prompt's whole blocks.
+/// Chained hashes of the complete blocks of a prompt.
 pub fn block_hashes(prompt: &[u8]) -> Vec<u64> {
     let mut previous = 0;
     prompt
@@ -35,31 +35,31 @@
     stale: bool,
 }
 
-/// What is known of the caches of an owner's servers.
+/// Estimated cache contents of an owner's servers.
 #[derive(Debug, Default)]
 pub struct PrefixIndex {
     servers: HashKeyMap<ServerId, ServerBlocks>,
 }
 
-/// A cache event of an engine.
+/// Cache changes reported by an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// Sequence number.
+    /// Sequence number; rises by one with each event.
     pub sequence: u64,
-    /// Blocks that are cached now.
+    /// Blocks added to the cache.
     pub stored: Vec<u64>,
-    /// Blocks that were evicted to make room.
+    /// Blocks evicted from the cache.
     pub evicted: Vec<u64>,
 }
 
 impl PrefixIndex {
-    /// Notes that a prompt with these blocks was sent to a server.
+    /// Records that a prompt with these blocks was sent to a server.
     pub fn note_sent(&mut self, server: ServerId, blocks: &[u64]) {
         self.servers.entry(server).or_default().insert(blocks);
     }
 
-    /// Takes an event. A gap in the sequence numbers marks the index of the
-    /// server stale until [`PrefixIndex::resync`]; returns whether it is.
+    /// Applies a cache event and returns whether the index of the server is stale. A gap
+    /// in the sequence numbers makes the index stale until [`PrefixIndex::resync`].
     pub fn note_event(&mut self, server: ServerId, event: &CacheEvent) -> bool {
         let entry = self.servers.entry(server).or_default();
         if event.sequence < entry.next_event {
@@ -74,7 +74,7 @@
         entry.stale
     }
 
-    /// Replaces what is known of a server by a whole list from the engine.
+    /// Replaces the blocks of a server by a full list from the engine.
     pub fn resync(&mut self, server: ServerId, next_event: u64, blocks: &[u64]) {
         let entry = self.servers.entry(server).or_default();
         entry.clear();
@@ -83,14 +83,13 @@
         entry.stale = false;
     }
 
-    /// Forgets a server.
+    /// Removes a server.
     pub fn forget(&mut self, server: ServerId) {
         self.servers.remove(&server);
     }
 
-    /// Number of leading blocks that the server holds; a stale index counts
-    /// for nothing. A block's hash covers those before it, so that the end of
-    /// the known prefix is found by halving.
+    /// Number of leading blocks cached at the server; zero if its index is stale. Binary
+    /// search finds the end of the prefix, as the hash of a block covers all before it.
     pub fn matched(&self, server: ServerId, blocks: &[u64]) -> usize {
         match self.servers.get(&server) {
             Some(entry) if !entry.stale => blocks.partition_point(|block| entry.cached.contains_key(block)),
@@ -100,9 +99,7 @@
 }
 
 impl ServerBlocks {
-    /// Remembers blocks, the oldest ones of the server giving way. The order
-    /// is that of the first sight: what the engine still holds of older ones
-    /// its events tell.
+    /// Adds blocks and drops the oldest above the limit, in the order of first insertion.
     fn insert(&mut self, blocks: &[u64]) {
         for block in blocks {
             if self.cached.insert(*block, ()).is_none() {
