--- a/crates/core/tests/directory.rs
+++ b/crates/core/tests/directory.rs
@@ -1,4 +1,4 @@
-//! What a node believes of servers, through drains, late heartbeats and outages.
+//! Tests of the server directory with draining, late heartbeats and store outages.
 
 use latchwheel_core::directory::{Directory, DirectoryChange, ServerRecord, LAPSE_GRACE};
 use latchwheel_core::time::Instant;
@@ -20,7 +20,6 @@
     Instant::default() + Duration::from_secs_f64(seconds)
 }
 
-/// A directory whose store has answered for long.
 fn directory_with_reachable_store() -> Directory {
     let mut directory = Directory::default();
     directory.note_store(at(10_000.0), Some(Duration::from_secs(10_000)));
@@ -76,7 +75,7 @@
     directory.note_record(record("leaving", true, 1));
     directory.note_store(at(9.0), None);
     assert_eq!(directory.note_vanished(at(9.0), "alive"), Some(DirectoryChange::Unconfirmed("alive".into())));
-    assert!(directory.tick(at(9.9)).is_empty(), "nothing is ended while the store is away");
+    assert!(directory.tick(at(9.9)).is_empty(), "a server was removed while the store was unreachable");
     directory.note_store(at(10.0), Some(Duration::ZERO));
     let changes = directory.replace_all(at(10.5), Vec::new());
     assert!(changes.contains(&DirectoryChange::Unconfirmed("alive".into())));
@@ -90,15 +89,14 @@
     assert_eq!(directory.next_removal(), None);
 }
 
-/// A node that hears of the store's return late has less time left, not more:
-/// what vanishes after the grace is gone at once.
+/// Late detection of the store's return must not extend the grace period.
 #[test]
 fn the_grace_period_starts_at_the_return_of_the_store_not_at_its_detection() {
     let mut directory = directory_with_reachable_store();
     directory.note_record(record("a", false, 1));
     directory.note_record(record("b", false, 1));
     directory.note_store(at(9.0), None);
-    // The news comes 2.3 s late.
+    // The return is detected 2.3 s late.
     directory.note_store(at(22.3), Some(Duration::from_millis(2_300)));
     assert_eq!(directory.note_vanished(at(22.3), "a"), Some(DirectoryChange::Unconfirmed("a".into())));
     assert_eq!(directory.note_vanished(at(22.6), "b"), Some(DirectoryChange::Gone("b".into())));
--- a/crates/core/tests/routes.rs
+++ b/crates/core/tests/routes.rs
@@ -1,4 +1,4 @@
-//! The routing table and the division of a route by weights.
+//! Tests of the routing table and weighted round robin.
 
 use latchwheel_core::dispatch::RouteKey;
 use latchwheel_core::routes::{
@@ -68,7 +68,8 @@
 }
 
 proptest! {
-    /// At any moment each service has its share, give or take one request.
+    /// After any number of requests each service is within its share, up to one request per
+    /// service of the route.
     #[test]
     fn shares_follow_weights(weights in prop::collection::vec(1_u32..100, 1..6), requests in 1_usize..500) {
         let names: Vec<String> = (0..weights.len()).map(|number| format!("s{number}")).collect();
@@ -104,7 +105,7 @@
     let routes = vec![route_with("x", "mixed", 0), route_with("y", "mixed", 1), route_with("z", "even", 1), batch];
     let without_tenants = table(routes.clone());
     assert!(without_tenants.orders_requests("mixed"));
-    assert!(!without_tenants.orders_requests("even"), "batch jobs give way in any case");
+    assert!(!without_tenants.orders_requests("even"), "batch jobs are always preempted");
     let tenants = Tenants::new([tenant("t", Some(3)), tenant("u", None)]);
     let table = RoutingTable::new(1, ClientLimits::default(), HashMap::new(), tenants, routes);
     assert!(table.orders_requests("even"));
