--- a/crates/core/src/directory.rs
+++ b/crates/core/src/directory.rs
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 struct Entry {
     record: ServerRecord,
-    vanished: bool,
+    missing: bool,
 }
 
 /// Registered servers of all services.
@@ -90,13 +90,13 @@
                 true => DirectoryChange::Draining(record.id.clone()),
                 false => DirectoryChange::Ready(record.clone()),
             };
-            self.entries.insert(record.id.clone(), Entry { record, vanished: false });
+            self.entries.insert(record.id.clone(), Entry { record, missing: false });
             return Some(change);
         };
         if record.sequence < entry.record.sequence {
             return None;
         }
-        entry.vanished = false;
+        entry.missing = false;
         let was_draining = entry.record.draining;
         let changed = ServerRecord { sequence: entry.record.sequence, ..record.clone() } != entry.record;
         entry.record = ServerRecord { draining: record.draining || was_draining, ..record };
@@ -108,10 +108,10 @@
     }
 
     /// Handles a missing registration: removes the server, or keeps it for the grace period.
-    pub fn note_vanished(&mut self, now: Instant, id: &str) -> Option<DirectoryChange> {
+    pub fn note_missing(&mut self, now: Instant, id: &str) -> Option<DirectoryChange> {
         let entry = self.entries.get_mut(id)?;
         if self.lapse.may_have_lapsed(now) && !entry.record.draining {
-            entry.vanished = true;
+            entry.missing = true;
             return Some(DirectoryChange::Unconfirmed(entry.record.id.clone()));
         }
         self.remove(id)
@@ -123,15 +123,15 @@
         let missing: Vec<Arc<str>> = self.entries.keys().filter(|id| !present.contains(*id)).cloned().collect();
         let mut changes: Vec<DirectoryChange> =
             records.into_iter().filter_map(|record| self.note_record(record)).collect();
-        changes.extend(missing.iter().filter_map(|id| self.note_vanished(now, id)));
+        changes.extend(missing.iter().filter_map(|id| self.note_missing(now, id)));
         changes
     }
 
     /// Time at which servers with a missing registration are removed; `None` if there are
     /// none, or while the store is unreachable.
     pub fn next_removal(&self) -> Option<Instant> {
-        let vanished = self.entries.values().any(|entry| entry.vanished);
-        self.lapse.end().filter(|_| vanished)
+        let missing = self.entries.values().any(|entry| entry.missing);
+        self.lapse.end().filter(|_| missing)
     }
 
     /// Removes servers whose registration is still missing after the grace period.
@@ -139,9 +139,9 @@
         if self.lapse.may_have_lapsed(now) {
             return Vec::new();
         }
-        let vanished: Vec<Arc<str>> =
-            self.entries.values().filter(|entry| entry.vanished).map(|entry| entry.record.id.clone()).collect();
-        vanished.iter().filter_map(|id| self.remove(id)).collect()
+        let missing: Vec<Arc<str>> =
+            self.entries.values().filter(|entry| entry.missing).map(|entry| entry.record.id.clone()).collect();
+        missing.iter().filter_map(|id| self.remove(id)).collect()
     }
 
     /// Servers that accept new work.
--- a/crates/core/tests/directory.rs
+++ b/crates/core/tests/directory.rs
@@ -52,7 +52,7 @@
 fn a_vanished_registration_means_a_leaving_server() {
     let mut directory = directory_with_reachable_store();
     directory.note_record(record("a", false, 5));
-    assert_eq!(directory.note_vanished(at(10.0), "a"), Some(DirectoryChange::Gone("a".into())));
+    assert_eq!(directory.note_missing(at(10.0), "a"), Some(DirectoryChange::Gone("a".into())));
     assert!(ready(&directory).is_empty());
 }
 
@@ -60,7 +60,7 @@
 fn a_late_heartbeat_does_not_bring_a_gone_server_back() {
     let mut directory = directory_with_reachable_store();
     directory.note_record(record("a", false, 5));
-    directory.note_vanished(at(10.0), "a");
+    directory.note_missing(at(10.0), "a");
     assert_eq!(directory.note_record(record("a", false, 4)), None);
     assert_eq!(directory.note_record(record("a", false, 5)), None);
     assert!(ready(&directory).is_empty());
@@ -74,7 +74,7 @@
     directory.note_record(record("dead", false, 1));
     directory.note_record(record("leaving", true, 1));
     directory.note_store(at(9.0), None);
-    assert_eq!(directory.note_vanished(at(9.0), "alive"), Some(DirectoryChange::Unconfirmed("alive".into())));
+    assert_eq!(directory.note_missing(at(9.0), "alive"), Some(DirectoryChange::Unconfirmed("alive".into())));
     assert!(directory.tick(at(9.9)).is_empty(), "a server was removed while the store was unreachable");
     directory.note_store(at(10.0), Some(Duration::ZERO));
     let changes = directory.replace_all(at(10.5), Vec::new());
@@ -98,8 +98,8 @@
     directory.note_store(at(9.0), None);
     // The return is detected 2.3 s late.
     directory.note_store(at(22.3), Some(Duration::from_millis(2_300)));
-    assert_eq!(directory.note_vanished(at(22.3), "a"), Some(DirectoryChange::Unconfirmed("a".into())));
-    assert_eq!(directory.note_vanished(at(22.6), "b"), Some(DirectoryChange::Gone("b".into())));
+    assert_eq!(directory.note_missing(at(22.3), "a"), Some(DirectoryChange::Unconfirmed("a".into())));
+    assert_eq!(directory.note_missing(at(22.6), "b"), Some(DirectoryChange::Gone("b".into())));
     assert_eq!(directory.tick(at(22.6)), [DirectoryChange::Gone("a".into())]);
 }
 
