--- a/crates/core/src/routing.rs
+++ b/crates/core/src/routing.rs
@@ -1,38 +1,38 @@
-//! Choice of the owner that gets an online request.
+//! Chooses the owner node that handles an online request.
 //!
-//! The node's own servers come first; another owner is chosen where it has
-//! the longer cached prefix, the service, or clearly more room. Among others
-//! the choice is power of two choices over the owners' summaries.
+//! The node prefers its own servers, unless another owner has a clearly better score from
+//! free slots, queue length and cached prefix. Candidates are the owner of the longest
+//! cached prefix and two owners picked at random (power of two choices).
 
 use crate::identity::NodeId;
 use rand::Rng;
 use std::collections::{HashMap, VecDeque};
 
-/// A matched prefix block is worth as much as this share of a free slot.
-const BLOCK_WORTH: f64 = 0.125;
-/// A remote owner must have this much more room to be preferred.
+/// Score of a cached prefix block, in free slots.
+const SCORE_PER_BLOCK: f64 = 0.125;
+/// Score, in free slots, by which a remote owner must exceed the local node.
 const FORWARD_MARGIN: f64 = 2.0;
-/// Prefix blocks remembered per node for the choice of an owner.
-const AFFINITY_LIMIT: usize = 65_536;
+/// Maximum number of prefix blocks in [`Affinity`].
+const MAX_AFFINITY_BLOCKS: usize = 65_536;
 
-/// What is known of an owner's room for one service.
+/// Load of an owner for one service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct OwnerRoom {
-    /// The owner.
+pub struct OwnerLoad {
+    /// Owner node.
     pub node: NodeId,
-    /// Online requests that it could start now.
+    /// Free slots for online requests.
     pub free: u32,
-    /// Online requests that wait at it.
+    /// Online requests in its queue.
     pub queued: u32,
 }
 
-impl OwnerRoom {
+impl OwnerLoad {
     fn score(&self) -> f64 {
         f64::from(self.free) - f64::from(self.queued)
     }
 }
 
-/// Remembers which owner served a prefix last.
+/// Maps prompt prefixes to the owner that served them last.
 #[derive(Debug, Default)]
 pub struct Affinity {
     owners: HashMap<u64, NodeId>,
@@ -40,21 +40,21 @@
 }
 
 impl Affinity {
-    /// Notes that `owner` got a prompt with these blocks.
+    /// Records that a prompt with these blocks was sent to `owner`.
     pub fn note(&mut self, blocks: &[u64], owner: NodeId) {
         for block in blocks {
             if self.owners.insert(*block, owner).is_none() {
                 self.order.push_back(*block);
             }
         }
-        while self.order.len() > AFFINITY_LIMIT {
+        while self.order.len() > MAX_AFFINITY_BLOCKS {
             if let Some(oldest) = self.order.pop_front() {
                 self.owners.remove(&oldest);
             }
         }
     }
 
-    /// The owner of the longest known prefix, with its length in blocks.
+    /// Owner of the longest recorded prefix, and its length in blocks.
     pub fn longest(&self, blocks: &[u64]) -> Option<(NodeId, usize)> {
         blocks
             .iter()
@@ -64,27 +64,28 @@
     }
 }
 
-/// Chooses an owner among `own` and `others`; `None` where nobody has the
-/// service.
+/// Chooses the local node (`own`) or one of `others`; `None` if no owner has the service.
 pub fn choose_owner(
-    own: Option<OwnerRoom>,
-    others: &[OwnerRoom],
+    own: Option<OwnerLoad>,
+    others: &[OwnerLoad],
     affinity: Option<(NodeId, usize)>,
     random: &mut impl Rng,
 ) -> Option<NodeId> {
-    let worth = |room: &OwnerRoom| match affinity {
-        Some((owner, blocks)) if owner == room.node && room.queued == 0 => room.score() + blocks as f64 * BLOCK_WORTH,
-        _ => room.score(),
+    let total_score = |load: &OwnerLoad| match affinity {
+        Some((owner, blocks)) if owner == load.node && load.queued == 0 => {
+            load.score() + blocks as f64 * SCORE_PER_BLOCK
+        }
+        _ => load.score(),
     };
-    let mut best = own.map(|room| (room.node, worth(&room) + FORWARD_MARGIN));
-    let mut consider = |room: &OwnerRoom| {
-        let value = worth(room);
-        if best.is_none_or(|(_, present)| value > present) {
-            best = Some((room.node, value));
+    let mut best = own.map(|load| (load.node, total_score(&load) + FORWARD_MARGIN));
+    let mut consider = |load: &OwnerLoad| {
+        let score = total_score(load);
+        if best.is_none_or(|(_, best_score)| score > best_score) {
+            best = Some((load.node, score));
         }
     };
     if let Some((owner, _)) = affinity {
-        others.iter().filter(|room| room.node == owner).for_each(&mut consider);
+        others.iter().filter(|load| load.node == owner).for_each(&mut consider);
     }
     if !others.is_empty() {
         for _ in 0..2 {
--- a/crates/core/tests/directory.rs
+++ b/crates/core/tests/directory.rs
@@ -1,4 +1,4 @@
-//! What a node believes of servers, through drains, late heartbeats and outages.
+//! Tests of the server directory with draining, late heartbeats and store outages.
 
 use latchwheel_core::directory::{Directory, DirectoryChange, ServerRecord, LAPSE_GRACE};
 use latchwheel_core::time::Instant;
@@ -20,8 +20,7 @@
     Instant::default() + Duration::from_secs_f64(seconds)
 }
 
-/// A directory whose store has answered for long.
-fn sound() -> Directory {
+fn directory_with_reachable_store() -> Directory {
     let mut directory = Directory::default();
     directory.note_store(at(10_000.0), Some(Duration::from_secs(10_000)));
     directory
@@ -35,14 +34,14 @@
 
 #[test]
 fn a_heartbeat_alone_is_no_change() {
-    let mut directory = sound();
+    let mut directory = directory_with_reachable_store();
     assert!(matches!(directory.note_record(record("a", false, 1)), Some(DirectoryChange::Ready(_))));
     assert_eq!(directory.note_record(record("a", false, 2)), None);
 }
 
 #[test]
 fn a_draining_server_never_becomes_ready_again() {
-    let mut directory = sound();
+    let mut directory = directory_with_reachable_store();
     directory.note_record(record("a", false, 1));
     assert_eq!(directory.note_record(record("a", true, 2)), Some(DirectoryChange::Draining("a".into())));
     assert_eq!(directory.note_record(record("a", false, 3)), None);
@@ -51,17 +50,17 @@
 
 #[test]
 fn a_vanished_registration_means_a_leaving_server() {
-    let mut directory = sound();
+    let mut directory = directory_with_reachable_store();
     directory.note_record(record("a", false, 5));
-    assert_eq!(directory.note_vanished(at(10.0), "a"), Some(DirectoryChange::Gone("a".into())));
+    assert_eq!(directory.note_missing(at(10.0), "a"), Some(DirectoryChange::Gone("a".into())));
     assert!(ready(&directory).is_empty());
 }
 
 #[test]
 fn a_late_heartbeat_does_not_bring_a_gone_server_back() {
-    let mut directory = sound();
+    let mut directory = directory_with_reachable_store();
     directory.note_record(record("a", false, 5));
-    directory.note_vanished(at(10.0), "a");
+    directory.note_missing(at(10.0), "a");
     assert_eq!(directory.note_record(record("a", false, 4)), None);
     assert_eq!(directory.note_record(record("a", false, 5)), None);
     assert!(ready(&directory).is_empty());
@@ -69,14 +68,14 @@
 }
 
 #[test]
-fn a_registration_that_lapses_in_an_outage_is_kept_until_it_had_time_to_return() {
-    let mut directory = sound();
+fn a_registration_missing_after_an_outage_is_kept_for_the_grace_period() {
+    let mut directory = directory_with_reachable_store();
     directory.note_record(record("alive", false, 1));
     directory.note_record(record("dead", false, 1));
     directory.note_record(record("leaving", true, 1));
     directory.note_store(at(9.0), None);
-    assert_eq!(directory.note_vanished(at(9.0), "alive"), Some(DirectoryChange::Unconfirmed("alive".into())));
-    assert!(directory.tick(at(9.9)).is_empty(), "nothing is ended while the store is away");
+    assert_eq!(directory.note_missing(at(9.0), "alive"), Some(DirectoryChange::Unconfirmed("alive".into())));
+    assert!(directory.tick(at(9.9)).is_empty(), "a server was removed while the store was unreachable");
     directory.note_store(at(10.0), Some(Duration::ZERO));
     let changes = directory.replace_all(at(10.5), Vec::new());
     assert!(changes.contains(&DirectoryChange::Unconfirmed("alive".into())));
@@ -84,30 +83,29 @@
     assert_eq!(ready(&directory), ["alive", "dead"]);
     directory.note_record(record("alive", false, 2));
     assert!(directory.tick(at(11.0)).is_empty());
-    assert_eq!(directory.next_end(), Some(at(10.0) + LAPSE_GRACE));
+    assert_eq!(directory.next_removal(), Some(at(10.0) + LAPSE_GRACE));
     assert_eq!(directory.tick(at(10.0) + LAPSE_GRACE), [DirectoryChange::Gone("dead".into())]);
     assert_eq!(ready(&directory), ["alive"]);
-    assert_eq!(directory.next_end(), None);
+    assert_eq!(directory.next_removal(), None);
 }
 
-/// A node that hears of the store's return late has less time left, not more:
-/// what vanishes after the grace is gone at once.
+/// Late detection of the store's return must not extend the grace period.
 #[test]
-fn the_grace_counts_from_the_return_of_the_store_and_not_from_the_news_of_it() {
-    let mut directory = sound();
+fn the_grace_period_starts_at_the_return_of_the_store_not_at_its_detection() {
+    let mut directory = directory_with_reachable_store();
     directory.note_record(record("a", false, 1));
     directory.note_record(record("b", false, 1));
     directory.note_store(at(9.0), None);
-    // The news comes 2.3 s late.
+    // The return is detected 2.3 s late.
     directory.note_store(at(22.3), Some(Duration::from_millis(2_300)));
-    assert_eq!(directory.note_vanished(at(22.3), "a"), Some(DirectoryChange::Unconfirmed("a".into())));
-    assert_eq!(directory.note_vanished(at(22.6), "b"), Some(DirectoryChange::Gone("b".into())));
+    assert_eq!(directory.note_missing(at(22.3), "a"), Some(DirectoryChange::Unconfirmed("a".into())));
+    assert_eq!(directory.note_missing(at(22.6), "b"), Some(DirectoryChange::Gone("b".into())));
     assert_eq!(directory.tick(at(22.6)), [DirectoryChange::Gone("a".into())]);
 }
 
 #[test]
-fn a_list_replaces_what_was_believed() {
-    let mut directory = sound();
+fn a_full_list_replaces_all_records() {
+    let mut directory = directory_with_reachable_store();
     directory.note_record(record("a", false, 1));
     directory.note_record(record("b", false, 1));
     directory.replace_all(at(20.0), vec![record("b", false, 2), record("c", false, 1)]);
--- a/crates/core/tests/limits_and_retries.rs
+++ b/crates/core/tests/limits_and_retries.rs
@@ -6,7 +6,7 @@
 use latchwheel_core::placement::{Fence, LoadPacer, OrderLease};
 use latchwheel_core::prefix::{block_hashes, CacheEvent, PrefixIndex};
 use latchwheel_core::retry::{exponential_backoff, RetryBudgets};
-use latchwheel_core::routing::{choose_owner, Affinity, OwnerRoom};
+use latchwheel_core::routing::{choose_owner, Affinity, OwnerLoad};
 use latchwheel_core::table::RetryPolicy;
 use latchwheel_core::time::Instant;
 use proptest::prelude::*;
@@ -174,13 +174,13 @@
 #[test]
 fn the_owner_of_the_prefix_is_chosen_unless_it_is_busy() {
     let mut random = SmallRng::seed_from_u64(1);
-    let owner_room = |node, free, queued| OwnerRoom { node: NodeId(node), free, queued };
-    let own = Some(owner_room(1, 8, 0));
-    let others = [owner_room(2, 8, 0), owner_room(3, 8, 0)];
+    let owner_load = |node, free, queued| OwnerLoad { node: NodeId(node), free, queued };
+    let own = Some(owner_load(1, 8, 0));
+    let others = [owner_load(2, 8, 0), owner_load(3, 8, 0)];
     assert_eq!(choose_owner(own, &others, None, &mut random), Some(NodeId(1)), "the local owner is preferred");
     let cached = Some((NodeId(3), 32));
     assert_eq!(choose_owner(own, &others, cached, &mut random), Some(NodeId(3)));
-    let busy = [owner_room(2, 8, 0), owner_room(3, 0, 40)];
+    let busy = [owner_load(2, 8, 0), owner_load(3, 0, 40)];
     assert_ne!(choose_owner(own, &busy, cached, &mut random), Some(NodeId(3)));
     assert_eq!(choose_owner(None, &[], None, &mut random), None);
 }
