--- a/crates/events/src/metrics.rs
+++ b/crates/events/src/metrics.rs
@@ -111,24 +111,20 @@
         let attempts = Histogram::new([1.0, 2.0, 3.0, 4.0]);
         registry.register("attempts", "Attempts of answered requests", attempts.clone());
         let second_attempts = ByName::default();
-        registry.register(
-            "second_attempts",
-            "Second attempts: begun, and delivered by either attempt",
-            second_attempts.clone(),
-        );
+        registry.register("second_attempts", "Second attempts: begun, and won by either", second_attempts.clone());
         let job_acceptance = duration_histogram();
-        registry.register("job_acceptance_seconds", "Time to store a batch job", job_acceptance.clone());
+        registry.register("job_acceptance_seconds", "Time to keep a batch job", job_acceptance.clone());
         let item = duration_histogram();
         registry.register("item_seconds", "Time from taking a job to the end of an item", item.clone());
         let dependency_up = ByName::default();
         registry.register("dependency_up", "Whether a dependency answers", dependency_up.clone());
         let server_load = ByName::default();
-        registry.register("server_load", "Estimated requests that run or wait at a server", server_load.clone());
+        registry.register("server_load", "Requests believed to run or wait at a server", server_load.clone());
         let server_time_factor = ByName::default();
-        let help = "Estimated time of work at a server, relative to the usual time";
+        let help = "Time that work is believed to take at a server, in parts of the usual";
         registry.register("server_time_factor", help, server_time_factor.clone());
         let machine_room = ByName::default();
-        let help = "Percent left of a resource limit of this machine, by limit; 100 if unknown";
+        let help = "Percent that is left of a limit of this machine, by limit; 100 where it is not known";
         registry.register("machine_room", help, machine_room.clone());
         let table_version = Gauge::default();
         registry.register("table_version", "Version of the routing table in force", table_version.clone());
@@ -137,13 +133,13 @@
         let records_age = DurationByName::new_with_constructor(duration_histogram);
         registry.register(
             "records_age_seconds",
-            "Age of followed records when they were confirmed again, by prefix",
+            "How old what is known of followed records had become when it was renewed, by prefix",
             records_age.clone(),
         );
         let known_records_age = Family::default();
         registry.register(
             "known_records_age_seconds",
-            "Time since the store confirmed the records in use, by prefix and origin",
+            "Time since the store confirmed the records that are used, by prefix and by who told them",
             known_records_age.clone(),
         );
         let lines_dropped = Counter::default();
--- a/crates/events/src/tenant_metrics.rs
+++ b/crates/events/src/tenant_metrics.rs
@@ -99,7 +99,7 @@
         register("tenant_slots_at_once", "Requests that found a free slot", &self.at_once);
         register("tenant_slots_in_turn", "Requests that waited and got a slot in time", &self.in_turn);
         register("tenant_slots_late", "Requests that waited and got a slot late", &self.late);
-        register("tenant_crowded_out", "Requests refused because others went first", &self.crowded_out);
+        register("tenant_crowded_out", "Requests refused since others went first", &self.crowded_out);
     }
 
     /// Adds a finished claim; `work` is in prompt tokens.
