--- a/crates/cli/tests/documents.rs
+++ b/crates/cli/tests/documents.rs
@@ -29,7 +29,7 @@
     );
     for code in ResultCode::ALL {
         let (number, name, status) = (code.number(), code.name(), code.http_status());
-        writeln!(text, "| {number} | {name} | {status} | {} | {} |", code.ran().word(), code.text()).unwrap();
+        writeln!(text, "| {number} | {name} | {status} | {} | {} |", code.ran().as_str(), code.text()).unwrap();
     }
     text.push_str("\n`not-run` is said only if no byte of the request was handed to an engine, or the\nengine itself refused it. `unknown` means that it can't be told; with an\nidempotency key a resend never runs it twice.\n");
     compare("RESULT-CODES.md", &text);
--- a/crates/core/src/code.rs
+++ b/crates/core/src/code.rs
@@ -17,7 +17,7 @@
 
 impl Ran {
     /// The word used in answers.
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Ran::NotRun => "not-run",
             Ran::Ran => "ran",
--- a/crates/core/src/configuration.rs
+++ b/crates/core/src/configuration.rs
@@ -44,13 +44,13 @@
     /// The key of the revision existed, or was read: with this edit.
     Found(u64, Edit),
     /// The key of the revision exists but its edit was folded into a snapshot.
-    Folded(u64),
+    Compacted(u64),
     /// The key of the revision was read and is absent.
     Absent(u64),
     /// It can't be told whether the key was created.
     AnswerLost(u64),
     /// The service was away for too long for the present edit.
-    GiveUp,
+    EditTimedOut,
     /// Records came from the service's watch or from a peer.
     Records(Vec<Record>),
     /// A whole table came from the service's snapshot or from a peer.
@@ -152,13 +152,13 @@
             }
             Event::Created(revision, edit) => self.created(revision, edit, &mut actions),
             Event::Found(revision, edit) => self.found(revision, edit, &mut actions),
-            Event::Folded(_) => {
+            Event::Compacted(_) => {
                 self.creating = None;
                 actions.push(Action::LoadSnapshot);
             }
             Event::Absent(revision) => self.absent(revision, &mut actions),
             Event::AnswerLost(revision) => actions.push(Action::Read(revision)),
-            Event::GiveUp => self.give_up(&mut actions),
+            Event::EditTimedOut => self.give_up(&mut actions),
             Event::Records(records) => self.records(records, &mut actions),
             Event::Snapshot(table) => self.snapshot(table, &mut actions),
             Event::PeerAt(node, revision) => {
--- a/crates/core/src/headroom/gauge.rs
+++ b/crates/core/src/headroom/gauge.rs
@@ -38,7 +38,7 @@
     /// Mean of the delays, later ones counting more.
     delay: Duration,
     delay_at: Option<Instant>,
-    room: Headroom,
+    headroom: Headroom,
     busy: bool,
 }
 
@@ -51,14 +51,14 @@
             looked_at: None,
             delay: Duration::ZERO,
             delay_at: None,
-            room: Headroom::default(),
+            headroom: Headroom::default(),
             busy: false,
         }
     }
 
     /// Whether limits are known, so that there is something to measure.
-    pub fn measures(&self) -> bool {
-        self.capacity.is_known()
+    pub fn has_limits(&self) -> bool {
+        self.capacity.has_limits()
     }
 
     /// A task ran so much later than it was due. `bearable` is the delay with which no
@@ -69,12 +69,12 @@
         let mean = self.delay.as_secs_f64();
         self.delay = Duration::from_secs_f64((mean + (delay.as_secs_f64() - mean) * weight).max(0.0));
         self.delay_at = Some(now);
-        self.room.delay = left_of(self.delay.as_secs_f64(), bearable.as_secs_f64());
+        self.headroom.delay = left_of(self.delay.as_secs_f64(), bearable.as_secs_f64());
     }
 
     /// Whether to look at what the process uses.
     pub fn sample_is_due(&self, now: Instant) -> bool {
-        self.measures() && self.looked_at.is_none_or(|at| now.since(at) >= LOOK_EVERY)
+        self.has_limits() && self.looked_at.is_none_or(|at| now.since(at) >= LOOK_EVERY)
     }
 
     /// What the process uses now. Tells whether the machine has become busy or free.
@@ -83,14 +83,14 @@
         if let Some(time) = usage.processor_time {
             self.note_processor_time(now, time);
         }
-        self.room.memory = part_left(usage.memory_bytes, self.capacity.memory_bytes);
-        self.room.descriptors = part_left(usage.descriptors, self.capacity.descriptors);
+        self.headroom.memory = part_left(usage.memory_bytes, self.capacity.memory_bytes);
+        self.headroom.descriptors = part_left(usage.descriptors, self.capacity.descriptors);
         self.judge()
     }
 
     /// What is left of the limits.
-    pub fn room(&self) -> Headroom {
-        self.room
+    pub fn headroom(&self) -> Headroom {
+        self.headroom
     }
 
     /// Mean delay of tasks.
@@ -114,11 +114,11 @@
             return;
         }
         let used = time.saturating_sub(*first_time).as_secs_f64() / measured.as_secs_f64();
-        self.room.processor = left_of(used, self.capacity.processors);
+        self.headroom.processor = left_of(used, self.capacity.processors);
     }
 
     fn judge(&mut self) -> Option<HeadroomChange> {
-        let least = self.room.least();
+        let least = self.headroom.least();
         if !self.busy && least < BUSY_BELOW {
             self.busy = true;
             return Some(HeadroomChange::Busy);
--- a/crates/core/src/headroom/mod.rs
+++ b/crates/core/src/headroom/mod.rs
@@ -25,7 +25,7 @@
 
 impl MachineCapacity {
     /// Whether any limit is known.
-    pub fn is_known(&self) -> bool {
+    pub fn has_limits(&self) -> bool {
         self.processors > 0.0 || self.memory_bytes > 0 || self.descriptors > 0
     }
 }
--- a/crates/core/src/headroom/peers.rs
+++ b/crates/core/src/headroom/peers.rs
@@ -53,7 +53,7 @@
     }
 
     /// The nodes that are heard directly.
-    pub fn heard(&self, now: Instant) -> PeerHeadroomCounts {
+    pub fn counts_from_reports(&self, now: Instant) -> PeerHeadroomCounts {
         let fresh = self.told.values().filter(|told| now.since(told.at) < TOLD_LIFE);
         let mut rooms = PeerHeadroomCounts::default();
         for told in fresh {
@@ -66,11 +66,11 @@
     /// The other nodes by the last sum, or as they are heard where there is none.
     pub fn all(&self, now: Instant) -> PeerHeadroomCounts {
         let sum = self.sum.filter(|(at, _)| now.since(*at) < TOLD_LIFE);
-        sum.map_or_else(|| self.heard(now), |(_, rooms)| rooms)
+        sum.map_or_else(|| self.counts_from_reports(now), |(_, rooms)| rooms)
     }
 
     /// The room of one node in percent, as it told lately.
-    pub fn of(&self, now: Instant, node: NodeId) -> Option<u8> {
+    pub fn percent_of(&self, now: Instant, node: NodeId) -> Option<u8> {
         self.told.get(&node).filter(|told| now.since(told.at) < TOLD_LIFE).map(|told| told.percent)
     }
 }
--- a/crates/core/src/identity.rs
+++ b/crates/core/src/identity.rs
@@ -40,9 +40,9 @@
 
 /// Hasher for keys that are hashes already.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct KeyIsHash(u64);
+pub struct PrehashedKeyHasher(u64);
 
-impl std::hash::Hasher for KeyIsHash {
+impl std::hash::Hasher for PrehashedKeyHasher {
     fn finish(&self) -> u64 {
         self.0
     }
@@ -57,4 +57,4 @@
 }
 
 /// Map whose keys are hashes already.
-pub type HashKeyMap<K, V> = std::collections::HashMap<K, V, std::hash::BuildHasherDefault<KeyIsHash>>;
+pub type HashKeyMap<K, V> = std::collections::HashMap<K, V, std::hash::BuildHasherDefault<PrehashedKeyHasher>>;
--- a/crates/core/src/table.rs
+++ b/crates/core/src/table.rs
@@ -7,9 +7,9 @@
 use std::time::Duration;
 
 /// Longest name of a row, service, model or adapter, in bytes.
-pub const NAME_LIMIT: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 /// Most rows that a table may hold.
-pub const ROW_LIMIT: usize = 20_000;
+pub const MAX_ROWS: usize = 20_000;
 const WEIGHT_LIMIT: f64 = 1.0e6;
 
 /// Whether work is waited for by somebody.
@@ -94,35 +94,35 @@
     /// Checks the row.
     ///
     /// # Errors
-    /// [`RowFault`] naming the field and what it allows.
-    pub fn check(&self) -> Result<(), RowFault> {
+    /// [`RowError`] naming the field and what it allows.
+    pub fn check(&self) -> Result<(), RowError> {
         for (field, value) in [("name", &self.name), ("service", &self.service)] {
-            if value.is_empty() || value.len() > NAME_LIMIT {
-                return Err(RowFault { field, allowed: "1 to 128 bytes" });
+            if value.is_empty() || value.len() > MAX_NAME_BYTES {
+                return Err(RowError { field, allowed: "1 to 128 bytes" });
             }
         }
         if !self.name.bytes().all(|byte| byte.is_ascii_alphanumeric() || b"-_.".contains(&byte)) {
-            return Err(RowFault { field: "name", allowed: "letters, digits, '-', '_' and '.'" });
+            return Err(RowError { field: "name", allowed: "letters, digits, '-', '_' and '.'" });
         }
-        if self.model.len() > NAME_LIMIT {
-            return Err(RowFault { field: "model", allowed: "at most 128 bytes" });
+        if self.model.len() > MAX_NAME_BYTES {
+            return Err(RowError { field: "model", allowed: "at most 128 bytes" });
         }
         if !(self.weight > 0.0 && self.weight <= WEIGHT_LIMIT) {
-            return Err(RowFault { field: "weight", allowed: "above 0, at most 1000000" });
+            return Err(RowError { field: "weight", allowed: "above 0, at most 1000000" });
         }
         for (field, value) in [
             ("limits.requests_per_second", self.limits.requests_per_second),
             ("limits.tokens_per_second", self.limits.tokens_per_second),
         ] {
             if !(value.is_finite() && value >= 0.0) {
-                return Err(RowFault { field, allowed: "0 or more" });
+                return Err(RowError { field, allowed: "0 or more" });
             }
         }
         if !(1..=10).contains(&self.retry.attempts) {
-            return Err(RowFault { field: "retry.attempts", allowed: "1 to 10" });
+            return Err(RowError { field: "retry.attempts", allowed: "1 to 10" });
         }
         if self.retry.budget_percent > 100 {
-            return Err(RowFault { field: "retry.budget_percent", allowed: "0 to 100" });
+            return Err(RowError { field: "retry.budget_percent", allowed: "0 to 100" });
         }
         Ok(())
     }
@@ -136,14 +136,14 @@
 
 /// A field of a row with a value that is not allowed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct RowFault {
+pub struct RowError {
     /// The field.
     pub field: &'static str,
     /// What it allows.
     pub allowed: &'static str,
 }
 
-impl RowFault {
+impl RowError {
     /// The code that goes with the fault.
     pub const CODE: ResultCode = ResultCode::BadRow;
 }
--- a/crates/core/tests/configuration.rs
+++ b/crates/core/tests/configuration.rs
@@ -106,7 +106,7 @@
         if self.service.away || fate == 0 {
             // Not sent: tried again, or given up.
             if fate < 3 {
-                self.handle(node, Event::GiveUp);
+                self.handle(node, Event::EditTimedOut);
             } else {
                 self.pending[node].push_back(Action::Create(revision, edit));
             }
--- a/crates/core/tests/machine_headroom.rs
+++ b/crates/core/tests/machine_headroom.rs
@@ -57,12 +57,12 @@
     for _ in 0..10 {
         machine.pass(0.025, Duration::ZERO);
     }
-    assert_eq!(machine.gauge.room().processor, 75);
+    assert_eq!(machine.gauge.headroom().processor, 75);
     for _ in 0..4 {
         machine.pass(0.08, Duration::ZERO);
     }
-    assert_eq!(machine.gauge.room().processor, 20, "what was before the last seconds counts no more");
-    assert_eq!(machine.gauge.room().least(), 20);
+    assert_eq!(machine.gauge.headroom().processor, 20, "what was before the last seconds counts no more");
+    assert_eq!(machine.gauge.headroom().least(), 20);
 }
 
 #[test]
@@ -94,12 +94,12 @@
     for _ in 0..5 {
         machine.pass(0.01, Duration::from_millis(1));
     }
-    assert!(machine.gauge.room().least() > 80, "{:?}", machine.gauge.room());
+    assert!(machine.gauge.headroom().least() > 80, "{:?}", machine.gauge.headroom());
     for _ in 0..12 {
         machine.pass(0.01, BEARABLE);
     }
-    assert!(machine.gauge.is_busy(), "{:?}", machine.gauge.room());
-    assert_eq!(machine.gauge.room().processor, 90);
+    assert!(machine.gauge.is_busy(), "{:?}", machine.gauge.headroom());
+    assert_eq!(machine.gauge.headroom().processor, 90);
 }
 
 #[test]
@@ -124,27 +124,27 @@
         ..ProcessUsage::default()
     };
     machine.pass_with(0.01, Duration::ZERO, usage(40, 300));
-    assert_eq!((machine.gauge.room().memory, machine.gauge.room().descriptors), (60, 90));
-    assert_eq!(machine.gauge.room().least(), 60);
+    assert_eq!((machine.gauge.headroom().memory, machine.gauge.headroom().descriptors), (60, 90));
+    assert_eq!(machine.gauge.headroom().least(), 60);
     machine.pass_with(0.01, Duration::ZERO, usage(40, 2900));
     assert!(machine.gauge.is_busy(), "no connection may be opened soon");
     machine.pass_with(0.01, Duration::ZERO, usage(140, 300));
-    assert_eq!(machine.gauge.room().least(), 0, "more than the limit leaves nothing");
+    assert_eq!(machine.gauge.headroom().least(), 0, "more than the limit leaves nothing");
 }
 
 #[test]
 fn what_is_not_known_takes_no_room() {
     let mut unlimited = Machine::new(MachineCapacity::default());
-    assert!(!unlimited.gauge.measures());
+    assert!(!unlimited.gauge.has_limits());
     unlimited.pass(5.0, Duration::ZERO);
-    assert_eq!(unlimited.gauge.room().least(), 100);
+    assert_eq!(unlimited.gauge.headroom().least(), 100);
     let mut unreadable = HeadroomGauge::new(SMALL);
     for second in 0..10 {
         assert_eq!(unreadable.note_usage(at(second * 1000), &ProcessUsage::default()), None);
     }
-    assert_eq!(unreadable.room().least(), 100);
+    assert_eq!(unreadable.headroom().least(), 100);
     unreadable.note_delay(at(10_000), Duration::from_secs(1), Duration::ZERO);
-    assert_eq!(unreadable.room().delay, 100, "nobody told when an answer is in time");
+    assert_eq!(unreadable.headroom().delay, 100, "nobody told when an answer is in time");
 }
 
 #[test]
@@ -152,10 +152,14 @@
     let mut rooms = PeerHeadroom::default();
     rooms.note(at(0), NodeId(1), 80, false);
     rooms.note(at(1000), NodeId(2), 5, true);
-    assert_eq!(rooms.heard(at(1000)), PeerHeadroomCounts { nodes: 2, busy: 1 });
-    assert_eq!(rooms.heard(at(1600)), PeerHeadroomCounts { nodes: 1, busy: 1 }, "the first one fell silent");
-    assert_eq!((rooms.of(at(1600), NodeId(1)), rooms.of(at(1600), NodeId(2))), (None, Some(5)));
-    assert_eq!(rooms.heard(at(10_000)), PeerHeadroomCounts::default());
+    assert_eq!(rooms.counts_from_reports(at(1000)), PeerHeadroomCounts { nodes: 2, busy: 1 });
+    assert_eq!(
+        rooms.counts_from_reports(at(1600)),
+        PeerHeadroomCounts { nodes: 1, busy: 1 },
+        "the first one fell silent"
+    );
+    assert_eq!((rooms.percent_of(at(1600), NodeId(1)), rooms.percent_of(at(1600), NodeId(2))), (None, Some(5)));
+    assert_eq!(rooms.counts_from_reports(at(10_000)), PeerHeadroomCounts::default());
 }
 
 /// Nodes hear of each other by sums that are made at different moments.
@@ -173,5 +177,5 @@
 fn a_figure_beyond_all_is_taken_as_full_room() {
     let mut rooms = PeerHeadroom::default();
     rooms.note(at(0), NodeId(1), 250, false);
-    assert_eq!(rooms.of(at(0), NodeId(1)), Some(100));
+    assert_eq!(rooms.percent_of(at(0), NodeId(1)), Some(100));
 }
--- a/crates/core/tests/replication.rs
+++ b/crates/core/tests/replication.rs
@@ -183,7 +183,7 @@
     assert!(actions.contains(&Action::Deposed));
     let actions = core.handle(later, Event::Propose(7, bytes::Bytes::new()));
     assert_eq!(actions, vec![Action::Rejected(7)]);
-    assert_eq!(ResultCode::NotLeader.ran().word(), "not-run");
+    assert_eq!(ResultCode::NotLeader.ran().as_str(), "not-run");
 }
 
 #[test]
--- a/crates/gateway/src/admin.rs
+++ b/crates/gateway/src/admin.rs
@@ -10,7 +10,7 @@
 use hyper::{HeaderMap, Method, Request, Response};
 use latchwheel_core::code::ResultCode;
 use latchwheel_core::configuration::EditOutcome;
-use latchwheel_core::table::{Change, Edit, Row, Table, TenantKeyHash, ROW_LIMIT};
+use latchwheel_core::table::{Change, Edit, Row, Table, TenantKeyHash, MAX_ROWS};
 use latchwheel_http::{json, Body};
 use latchwheel_protocol::v1::ReadRequest;
 
@@ -87,7 +87,7 @@
             Err(refusal) => return *refusal,
         };
         let table = self.backend.table();
-        if table.rows.len() >= ROW_LIMIT && !table.rows.contains_key(name) {
+        if table.rows.len() >= MAX_ROWS && !table.rows.contains_key(name) {
             return refuse(ResultCode::BadRow, "the table holds at most 20000 rows");
         }
         self.edit(&head.headers, Change::Put(row)).await
--- a/crates/gateway/src/error.rs
+++ b/crates/gateway/src/error.rs
@@ -20,7 +20,7 @@
             "message": message,
             "type": code.name(),
             "code": code.number(),
-            "ran": code.ran().word(),
+            "ran": code.ran().as_str(),
         }
     })
 }
@@ -42,7 +42,7 @@
     let mut response = json(code.http_status(), &error_body(code, detail));
     let headers = response.headers_mut();
     headers.insert(CODE_HEADER, HeaderValue::from(code.number()));
-    headers.insert(RAN_HEADER, HeaderValue::from_static(code.ran().word()));
+    headers.insert(RAN_HEADER, HeaderValue::from_static(code.ran().as_str()));
     response
 }
 
--- a/crates/node/src/configuration.rs
+++ b/crates/node/src/configuration.rs
@@ -144,7 +144,7 @@
                 Ok(WriteOutcome::Written(_)) => return self.handle(Event::Created(revision, edit)),
                 Ok(WriteOutcome::VersionMismatch(stored)) => return self.found(revision, &stored.value),
                 Err(KeyValueFault::OutcomeUnknown) => return self.handle(Event::AnswerLost(revision)),
-                Err(KeyValueFault::Unavailable) if self.is_edit_over() => return self.handle(Event::GiveUp),
+                Err(KeyValueFault::Unavailable) if self.is_edit_over() => return self.handle(Event::EditTimedOut),
                 Err(KeyValueFault::Unavailable) => tokio::time::sleep(RETRY_PAUSE).await,
             }
         }
@@ -154,9 +154,9 @@
         loop {
             match self.service.read(&log_key(revision)).await {
                 Ok(Some(stored)) => return self.found(revision, &stored.value),
-                Ok(None) if self.is_edit_over() => return self.handle(Event::GiveUp),
+                Ok(None) if self.is_edit_over() => return self.handle(Event::EditTimedOut),
                 Ok(None) => return self.handle(Event::Absent(revision)),
-                Err(_) if self.is_edit_over() => return self.handle(Event::GiveUp),
+                Err(_) if self.is_edit_over() => return self.handle(Event::EditTimedOut),
                 Err(_) => tokio::time::sleep(RETRY_PAUSE).await,
             }
         }
@@ -166,7 +166,7 @@
         match serde_json::from_str(value) {
             Ok(edit) => self.handle(Event::Found(revision, edit)),
             // An empty value stands where the edit was folded into the snapshot.
-            Err(_) => self.handle(Event::Folded(revision)),
+            Err(_) => self.handle(Event::Compacted(revision)),
         }
     }
 
--- a/crates/proxy/src/machine_room.rs
+++ b/crates/proxy/src/machine_room.rs
@@ -35,12 +35,12 @@
 impl MachineRoom {
     /// The limits of this machine; its room is measured from now on.
     pub fn set_capacity(&self, capacity: MachineCapacity) {
-        self.lock().gauge = capacity.is_known().then(|| HeadroomGauge::new(capacity));
+        self.lock().gauge = capacity.has_limits().then(|| HeadroomGauge::new(capacity));
     }
 
     /// What is left of this machine's limits; `None` where they are not known.
     pub fn own(&self) -> Option<Headroom> {
-        self.lock().gauge.as_ref().map(HeadroomGauge::room)
+        self.lock().gauge.as_ref().map(HeadroomGauge::headroom)
     }
 
     /// The other nodes that tell their room.
@@ -78,13 +78,13 @@
     pub(crate) fn message(&self) -> Option<v1::MachineRoom> {
         let state = self.lock();
         let gauge = state.gauge.as_ref()?;
-        Some(v1::MachineRoom { percent: gauge.room().least().into(), busy: gauge.is_busy() })
+        Some(v1::MachineRoom { percent: gauge.headroom().least().into(), busy: gauge.is_busy() })
     }
 
     /// All nodes that tell their room, this one among them.
     pub(crate) fn sum(&self, now: Instant) -> PeerHeadroomCounts {
         let state = self.lock();
-        let mut rooms = state.elsewhere.heard(now);
+        let mut rooms = state.elsewhere.counts_from_reports(now);
         if let Some(gauge) = &state.gauge {
             rooms.nodes += 1;
             rooms.busy += u32::from(gauge.is_busy());
@@ -101,7 +101,7 @@
     fn look(&mut self, now: Instant, keeps_servers: bool) {
         let Some(gauge) = &mut self.gauge else { return };
         let change = gauge.note_usage(now, &usage());
-        let (room, delay) = (gauge.room(), gauge.delay());
+        let (room, delay) = (gauge.headroom(), gauge.delay());
         match change {
             Some(HeadroomChange::Busy) => self.note_busy(now, room, delay),
             Some(HeadroomChange::Free) => self.note_free(now, room),
