--- a/crates/core/src/configuration.rs
+++ b/crates/core/src/configuration.rs
@@ -158,7 +158,7 @@
             }
             Event::Absent(revision) => self.absent(revision, &mut actions),
             Event::AnswerLost(revision) => actions.push(Action::Read(revision)),
-            Event::EditTimedOut => self.give_up(&mut actions),
+            Event::EditTimedOut => self.time_out_edit(&mut actions),
             Event::Records(records) => self.records(records, &mut actions),
             Event::Snapshot(table) => self.snapshot(table, &mut actions),
             Event::PeerAt(node, revision) => {
@@ -212,7 +212,7 @@
         }
     }
 
-    fn give_up(&mut self, actions: &mut Vec<Action>) {
+    fn time_out_edit(&mut self, actions: &mut Vec<Action>) {
         if self.creating.take().is_some() {
             self.answer(EditOutcome::Unknown, actions);
         }
@@ -231,13 +231,13 @@
             self.ready = true;
             actions.push(Action::Publish(self.table.clone()));
         }
-        self.settle_create(actions);
+        self.rebase_waiting_edit(actions);
     }
 
     fn apply(&mut self, record: Record, actions: &mut Vec<Action>) {
         Arc::make_mut(&mut self.table).apply(&record.edit);
-        let own = self.waiting.front().is_some_and(|pending| pending.edit.identity == record.edit.identity);
-        if own {
+        let is_own = self.waiting.front().is_some_and(|pending| pending.edit.identity == record.edit.identity);
+        if is_own {
             self.creating = None;
             self.answer(EditOutcome::InForce(record.revision), actions);
         }
@@ -249,7 +249,7 @@
 
     /// If another's edit took the revision that was being created, the own
     /// one is based anew or, where it named a revision, told of the conflict.
-    fn settle_create(&mut self, actions: &mut Vec<Action>) {
+    fn rebase_waiting_edit(&mut self, actions: &mut Vec<Action>) {
         if self.creating.is_some_and(|revision| revision <= self.table.revision) {
             self.creating = None;
         }
@@ -263,6 +263,6 @@
             self.recent.clear();
             actions.push(Action::Publish(self.table.clone()));
         }
-        self.settle_create(actions);
+        self.rebase_waiting_edit(actions);
     }
 }
--- a/crates/core/src/headroom/gauge.rs
+++ b/crates/core/src/headroom/gauge.rs
@@ -1,6 +1,6 @@
 //! The room of this machine itself.
 
-use super::{left_of, Headroom, MachineCapacity, ProcessUsage};
+use super::{percent_left, Headroom, MachineCapacity, ProcessUsage};
 use crate::time::Instant;
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,15 +9,15 @@
 /// its limit for a part of a second has used that part's time before.
 const WINDOW: Duration = Duration::from_secs(3);
 /// Time between two looks at what the process uses; each reads three files.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
 /// Processor time is not judged before it was measured for this time.
-const LEAST_MEASURED: Duration = Duration::from_secs(2);
+const MIN_MEASURED_TIME: Duration = Duration::from_secs(2);
 /// A machine with less room in percent is busy: where more than nine parts in ten are
 /// in use, what comes waits for a multiple of its own time.
 const BUSY_BELOW: u8 = 10;
 /// A busy machine with this room in percent is busy no more. The distance to
 /// [`BUSY_BELOW`] keeps a machine from changing with each small peak.
-const FREE_FROM: u8 = 30;
+const FREE_AT: u8 = 30;
 
 /// A machine became busy, or is so no more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -33,8 +33,8 @@
 pub struct HeadroomGauge {
     capacity: MachineCapacity,
     /// Processor time at each look in the window, and the last one before it.
-    looks: VecDeque<(Instant, Duration)>,
-    looked_at: Option<Instant>,
+    samples: VecDeque<(Instant, Duration)>,
+    sampled_at: Option<Instant>,
     /// Mean of the delays, later ones counting more.
     delay: Duration,
     delay_at: Option<Instant>,
@@ -47,8 +47,8 @@
     pub fn new(capacity: MachineCapacity) -> Self {
         Self {
             capacity,
-            looks: VecDeque::new(),
-            looked_at: None,
+            samples: VecDeque::new(),
+            sampled_at: None,
             delay: Duration::ZERO,
             delay_at: None,
             headroom: Headroom::default(),
@@ -61,31 +61,31 @@
         self.capacity.has_limits()
     }
 
-    /// A task ran so much later than it was due. `bearable` is the delay with which no
+    /// A task ran so much later than it was due. `max_delay` is the delay with which no
     /// answer is in time; zero if that is not known.
-    pub fn note_delay(&mut self, now: Instant, delay: Duration, bearable: Duration) {
+    pub fn note_delay(&mut self, now: Instant, delay: Duration, max_delay: Duration) {
         let passed = self.delay_at.map_or(Duration::ZERO, |at| now.since(at));
         let weight = (passed.as_secs_f64() / WINDOW.as_secs_f64()).min(1.0);
         let mean = self.delay.as_secs_f64();
         self.delay = Duration::from_secs_f64((mean + (delay.as_secs_f64() - mean) * weight).max(0.0));
         self.delay_at = Some(now);
-        self.headroom.delay = left_of(self.delay.as_secs_f64(), bearable.as_secs_f64());
+        self.headroom.delay = percent_left(self.delay.as_secs_f64(), max_delay.as_secs_f64());
     }
 
     /// Whether to look at what the process uses.
     pub fn sample_is_due(&self, now: Instant) -> bool {
-        self.has_limits() && self.looked_at.is_none_or(|at| now.since(at) >= LOOK_EVERY)
+        self.has_limits() && self.sampled_at.is_none_or(|at| now.since(at) >= SAMPLE_INTERVAL)
     }
 
     /// What the process uses now. Tells whether the machine has become busy or free.
     pub fn note_usage(&mut self, now: Instant, usage: &ProcessUsage) -> Option<HeadroomChange> {
-        self.looked_at = Some(now);
+        self.sampled_at = Some(now);
         if let Some(time) = usage.processor_time {
             self.note_processor_time(now, time);
         }
-        self.headroom.memory = part_left(usage.memory_bytes, self.capacity.memory_bytes);
-        self.headroom.descriptors = part_left(usage.descriptors, self.capacity.descriptors);
-        self.judge()
+        self.headroom.memory = percent_left_if_measured(usage.memory_bytes, self.capacity.memory_bytes);
+        self.headroom.descriptors = percent_left_if_measured(usage.descriptors, self.capacity.descriptors);
+        self.update_busy()
     }
 
     /// What is left of the limits.
@@ -104,26 +104,26 @@
     }
 
     fn note_processor_time(&mut self, now: Instant, time: Duration) {
-        self.looks.push_back((now, time));
-        while self.looks.get(1).is_some_and(|(at, _)| now.since(*at) >= WINDOW) {
-            self.looks.pop_front();
+        self.samples.push_back((now, time));
+        while self.samples.get(1).is_some_and(|(at, _)| now.since(*at) >= WINDOW) {
+            self.samples.pop_front();
         }
-        let Some((first_at, first_time)) = self.looks.front() else { return };
+        let Some((first_at, first_time)) = self.samples.front() else { return };
         let measured = now.since(*first_at);
-        if measured < LEAST_MEASURED {
+        if measured < MIN_MEASURED_TIME {
             return;
         }
         let used = time.saturating_sub(*first_time).as_secs_f64() / measured.as_secs_f64();
-        self.headroom.processor = left_of(used, self.capacity.processors);
+        self.headroom.processor = percent_left(used, self.capacity.processors);
     }
 
-    fn judge(&mut self) -> Option<HeadroomChange> {
-        let least = self.headroom.least();
-        if !self.busy && least < BUSY_BELOW {
+    fn update_busy(&mut self) -> Option<HeadroomChange> {
+        let lowest = self.headroom.least();
+        if !self.busy && lowest < BUSY_BELOW {
             self.busy = true;
             return Some(HeadroomChange::Busy);
         }
-        if self.busy && least >= FREE_FROM {
+        if self.busy && lowest >= FREE_AT {
             self.busy = false;
             return Some(HeadroomChange::Free);
         }
@@ -131,6 +131,6 @@
     }
 }
 
-fn part_left(used: Option<u64>, limit: u64) -> u8 {
-    left_of(used.unwrap_or_default() as f64, limit as f64)
+fn percent_left_if_measured(used: Option<u64>, limit: u64) -> u8 {
+    percent_left(used.unwrap_or_default() as f64, limit as f64)
 }
--- a/crates/core/src/headroom/mod.rs
+++ b/crates/core/src/headroom/mod.rs
@@ -91,7 +91,7 @@
 const FULL: u8 = 100;
 
 /// Percent that is left where `used` of `limit` is taken.
-fn left_of(used: f64, limit: f64) -> u8 {
+fn percent_left(used: f64, limit: f64) -> u8 {
     if limit <= 0.0 {
         return FULL;
     }
--- a/crates/core/src/headroom/peers.rs
+++ b/crates/core/src/headroom/peers.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 /// What a node told of its room counts for this time: some reports may be lost.
-const TOLD_LIFE: Duration = Duration::from_millis(1500);
+const REPORT_TTL: Duration = Duration::from_millis(1500);
 
 /// The rooms of several nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -22,7 +22,7 @@
 /// none where sums are heard instead.
 #[derive(Debug, Default)]
 pub struct PeerHeadroom {
-    told: HashMap<NodeId, Told>,
+    reports: HashMap<NodeId, Report>,
     /// When entries of nodes that fell silent were dropped last.
     pruned_at: Instant,
     /// By the last sum over all nodes.
@@ -30,7 +30,7 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Told {
+struct Report {
     at: Instant,
     busy: bool,
     percent: u8,
@@ -40,37 +40,37 @@
     /// Another node told its room in percent, and whether it is busy.
     pub fn note(&mut self, now: Instant, node: NodeId, percent: u8, busy: bool) {
         // Not at each word: those that sum up hear all nodes several times a second.
-        if now.since(self.pruned_at) >= TOLD_LIFE {
+        if now.since(self.pruned_at) >= REPORT_TTL {
             self.pruned_at = now;
-            self.told.retain(|_, told| now.since(told.at) < TOLD_LIFE);
+            self.reports.retain(|_, report| now.since(report.at) < REPORT_TTL);
         }
-        self.told.insert(node, Told { at: now, busy, percent: percent.min(FULL) });
+        self.reports.insert(node, Report { at: now, busy, percent: percent.min(FULL) });
     }
 
     /// A node that sums up what all tell told of the others.
-    pub fn note_sum(&mut self, now: Instant, rooms: PeerHeadroomCounts) {
-        self.sum = Some((now, rooms));
+    pub fn note_sum(&mut self, now: Instant, counts: PeerHeadroomCounts) {
+        self.sum = Some((now, counts));
     }
 
     /// The nodes that are heard directly.
     pub fn counts_from_reports(&self, now: Instant) -> PeerHeadroomCounts {
-        let fresh = self.told.values().filter(|told| now.since(told.at) < TOLD_LIFE);
-        let mut rooms = PeerHeadroomCounts::default();
-        for told in fresh {
-            rooms.nodes += 1;
-            rooms.busy += u32::from(told.busy);
+        let current = self.reports.values().filter(|report| now.since(report.at) < REPORT_TTL);
+        let mut counts = PeerHeadroomCounts::default();
+        for report in current {
+            counts.nodes += 1;
+            counts.busy += u32::from(report.busy);
         }
-        rooms
+        counts
     }
 
     /// The other nodes by the last sum, or as they are heard where there is none.
     pub fn all(&self, now: Instant) -> PeerHeadroomCounts {
-        let sum = self.sum.filter(|(at, _)| now.since(*at) < TOLD_LIFE);
-        sum.map_or_else(|| self.counts_from_reports(now), |(_, rooms)| rooms)
+        let sum = self.sum.filter(|(at, _)| now.since(*at) < REPORT_TTL);
+        sum.map_or_else(|| self.counts_from_reports(now), |(_, counts)| counts)
     }
 
     /// The room of one node in percent, as it told lately.
     pub fn percent_of(&self, now: Instant, node: NodeId) -> Option<u8> {
-        self.told.get(&node).filter(|told| now.since(told.at) < TOLD_LIFE).map(|told| told.percent)
+        self.reports.get(&node).filter(|report| now.since(report.at) < REPORT_TTL).map(|report| report.percent)
     }
 }
--- a/crates/core/tests/configuration.rs
+++ b/crates/core/tests/configuration.rs
@@ -30,28 +30,28 @@
 
 /// The key-value service: it creates a key only if it is absent.
 #[derive(Default)]
-struct Service {
+struct KeyValueService {
     log: BTreeMap<u64, Edit>,
-    away: bool,
+    unavailable: bool,
 }
 
-struct Site {
-    service: Service,
+struct Cluster {
+    service: KeyValueService,
     nodes: Vec<ConfigurationLog>,
     pending: Vec<VecDeque<Action>>,
     outcomes: BTreeMap<u64, EditOutcome>,
-    seen: Vec<u64>,
+    published: Vec<u64>,
     random: SmallRng,
 }
 
-impl Site {
+impl Cluster {
     fn new(nodes: usize, seed: u64) -> Self {
         Self {
-            service: Service::default(),
+            service: KeyValueService::default(),
             nodes: (0..nodes).map(|_| ConfigurationLog::new()).collect(),
             pending: vec![VecDeque::new(); nodes],
             outcomes: BTreeMap::new(),
-            seen: vec![0; nodes],
+            published: vec![0; nodes],
             random: SmallRng::seed_from_u64(seed),
         }
     }
@@ -63,8 +63,8 @@
                     assert!(self.outcomes.insert(identity, outcome).is_none(), "an edit is answered once");
                 }
                 Action::Publish(table) => {
-                    assert!(table.revision > self.seen[node], "a node moves up only");
-                    self.seen[node] = table.revision;
+                    assert!(table.revision > self.published[node], "a node moves up only");
+                    self.published[node] = table.revision;
                 }
                 other => self.pending[node].push_back(other),
             }
@@ -77,7 +77,7 @@
         match action {
             Action::Create(revision, edit) => self.create(node, revision, edit),
             Action::Read(revision) => {
-                if self.service.away {
+                if self.service.unavailable {
                     self.pending[node].push_back(Action::Read(revision));
                     return;
                 }
@@ -103,7 +103,7 @@
 
     fn create(&mut self, node: usize, revision: u64, edit: Edit) {
         let fate = self.random.random_range(0..10);
-        if self.service.away || fate == 0 {
+        if self.service.unavailable || fate == 0 {
             // Not sent: tried again, or given up.
             if fate < 3 {
                 self.handle(node, Event::EditTimedOut);
@@ -128,8 +128,8 @@
         self.handle(to, Event::PeerAt(NodeId(from as u64), revision));
     }
 
-    fn settle(&mut self) {
-        self.service.away = false;
+    fn converge(&mut self) {
+        self.service.unavailable = false;
         for _ in 0..400 {
             for node in 0..self.nodes.len() {
                 self.step(node);
@@ -152,45 +152,47 @@
 #[test]
 fn racing_operators_lose_nothing_under_random_orders() {
     for seed in 0..SCHEDULES {
-        let mut site = Site::new(4, seed);
+        let mut cluster = Cluster::new(4, seed);
         let mut proposed = 0;
         for _ in 0..150 {
-            match site.random.random_range(0..10) {
+            match cluster.random.random_range(0..10) {
                 0 | 1 => {
-                    let node = site.random.random_range(0..4);
-                    let based_on = site.random.random_bool(0.3).then(|| site.nodes[node].table().revision);
+                    let node = cluster.random.random_range(0..4);
+                    let based_on = cluster.random.random_bool(0.3).then(|| cluster.nodes[node].table().revision);
                     proposed += 1;
-                    site.handle(node, Event::Propose(edit(proposed), based_on));
+                    cluster.handle(node, Event::Propose(edit(proposed), based_on));
                 }
-                2 => site.service.away = site.random.random_bool(0.3),
-                3 => site.gossip(),
+                2 => cluster.service.unavailable = cluster.random.random_bool(0.3),
+                3 => cluster.gossip(),
                 _ => {
-                    let node = site.random.random_range(0..4);
-                    site.step(node);
+                    let node = cluster.random.random_range(0..4);
+                    cluster.step(node);
                 }
             }
         }
-        site.settle();
-        check(&site, seed, proposed);
+        cluster.converge();
+        check(&cluster, seed, proposed);
     }
 }
 
-fn check(site: &Site, seed: u64, proposed: u64) {
+fn check(cluster: &Cluster, seed: u64, proposed: u64) {
     let mut table = Table::default();
-    for (number, (revision, edit)) in site.service.log.iter().enumerate() {
+    for (number, (revision, edit)) in cluster.service.log.iter().enumerate() {
         assert_eq!(*revision, number as u64 + 1, "seed {seed}: a revision is missing");
         table.apply(edit);
     }
-    for node in &site.nodes {
+    for node in &cluster.nodes {
         assert_eq!(node.table().as_ref(), &table, "seed {seed}: nodes differ");
     }
-    let mut identities: Vec<u64> = site.service.log.values().map(|edit| edit.identity).collect();
+    let mut identities: Vec<u64> = cluster.service.log.values().map(|edit| edit.identity).collect();
     identities.sort_unstable();
     identities.dedup();
-    assert_eq!(identities.len(), site.service.log.len(), "seed {seed}: an edit took effect twice");
+    assert_eq!(identities.len(), cluster.service.log.len(), "seed {seed}: an edit took effect twice");
     for identity in 1..=proposed {
-        let outcome = site.outcomes.get(&identity).unwrap_or_else(|| panic!("seed {seed}: edit {identity} unanswered"));
-        let in_log = site.service.log.iter().find(|(_, edit)| edit.identity == identity).map(|(revision, _)| *revision);
+        let outcome =
+            cluster.outcomes.get(&identity).unwrap_or_else(|| panic!("seed {seed}: edit {identity} unanswered"));
+        let in_log =
+            cluster.service.log.iter().find(|(_, edit)| edit.identity == identity).map(|(revision, _)| *revision);
         match outcome {
             EditOutcome::InForce(revision) => assert_eq!(in_log, Some(*revision), "seed {seed}: edit {identity}"),
             EditOutcome::Conflict(_) => assert_eq!(in_log, None, "seed {seed}: a refused edit took effect"),
@@ -200,7 +202,7 @@
 }
 
 #[test]
-fn an_edit_whose_answer_was_lost_is_told_as_in_force() {
+fn an_edit_whose_answer_was_lost_is_reported_in_force() {
     let mut log = ConfigurationLog::new();
     log.handle(Event::Propose(edit(1), None));
     assert_eq!(log.handle(Event::AnswerLost(1)), vec![Action::Read(1)]);
@@ -217,7 +219,7 @@
 }
 
 #[test]
-fn an_edit_that_names_no_revision_is_based_anew() {
+fn an_edit_without_a_base_revision_is_rebased_after_a_conflict() {
     let mut log = ConfigurationLog::new();
     log.handle(Event::Propose(edit(1), None));
     let actions = log.handle(Event::Found(1, edit(2)));
@@ -241,7 +243,7 @@
 }
 
 #[test]
-fn a_node_that_knows_nothing_is_not_ready() {
+fn a_node_without_a_table_is_not_ready() {
     let mut log = ConfigurationLog::new();
     assert!(!log.is_ready());
     log.handle(Event::Snapshot(Table { revision: 5, ..Table::default() }));
--- a/crates/core/tests/machine_headroom.rs
+++ b/crates/core/tests/machine_headroom.rs
@@ -10,7 +10,7 @@
 
 const SMALL: MachineCapacity = MachineCapacity { processors: 0.1, memory_bytes: 100 << 20, descriptors: 3000 };
 /// With a mean delay of this, no answer is in time.
-const BEARABLE: Duration = Duration::from_millis(40);
+const MAX_DELAY: Duration = Duration::from_millis(40);
 
 fn at(millis: u64) -> Instant {
     Instant::from_micros(1_000_000 + millis * 1000)
@@ -35,8 +35,8 @@
     }
 
     fn pass_with(&mut self, processor: f64, delay: Duration, usage: ProcessUsage) {
-        for look in 0..10 {
-            self.gauge.note_delay(at(self.second * 1000 + look * 100), delay, BEARABLE);
+        for sample in 0..10 {
+            self.gauge.note_delay(at(self.second * 1000 + sample * 100), delay, MAX_DELAY);
         }
         self.second += 1;
         self.used += Duration::from_secs_f64(processor);
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn room_is_what_is_left_of_the_processor_time_of_the_last_seconds() {
+fn headroom_counts_only_recent_processor_time() {
     let mut machine = Machine::new(SMALL);
     for _ in 0..10 {
         machine.pass(0.025, Duration::ZERO);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_machine_at_its_limit_is_busy_and_is_free_only_with_clearly_more_room() {
+fn a_busy_machine_becomes_free_only_at_the_upper_bound() {
     let mut machine = Machine::new(SMALL);
     // Peaks beside rests, as callers of one zone send them: the mean is what counts.
     for second in 0..30 {
@@ -89,28 +89,28 @@
 
 /// A machine that is slow for its neighbours' sake uses little processor time.
 #[test]
-fn a_machine_that_runs_everything_late_is_busy_whatever_it_uses() {
+fn a_machine_that_runs_tasks_late_is_busy_at_low_processor_use() {
     let mut machine = Machine::new(SMALL);
     for _ in 0..5 {
         machine.pass(0.01, Duration::from_millis(1));
     }
     assert!(machine.gauge.headroom().least() > 80, "{:?}", machine.gauge.headroom());
     for _ in 0..12 {
-        machine.pass(0.01, BEARABLE);
+        machine.pass(0.01, MAX_DELAY);
     }
     assert!(machine.gauge.is_busy(), "{:?}", machine.gauge.headroom());
     assert_eq!(machine.gauge.headroom().processor, 90);
 }
 
 #[test]
-fn one_late_moment_makes_no_machine_busy() {
+fn a_single_late_task_does_not_make_a_machine_busy() {
     let mut machine = Machine::new(SMALL);
     for _ in 0..5 {
         machine.pass(0.01, Duration::ZERO);
     }
     let now = at((machine.second + 1) * 1000);
-    machine.gauge.note_delay(now - Duration::from_millis(100), Duration::ZERO, BEARABLE);
-    machine.gauge.note_delay(now, BEARABLE * 2, BEARABLE);
+    machine.gauge.note_delay(now - Duration::from_millis(100), Duration::ZERO, MAX_DELAY);
+    machine.gauge.note_delay(now, MAX_DELAY * 2, MAX_DELAY);
     assert_eq!(machine.gauge.note_usage(now, &ProcessUsage::default()), None);
     assert!(!machine.gauge.is_busy());
 }
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn what_is_not_known_takes_no_room() {
+fn missing_limits_and_usage_leave_full_headroom() {
     let mut unlimited = Machine::new(MachineCapacity::default());
     assert!(!unlimited.gauge.has_limits());
     unlimited.pass(5.0, Duration::ZERO);
@@ -148,34 +148,34 @@
 }
 
 #[test]
-fn what_a_silent_node_told_counts_no_more() {
-    let mut rooms = PeerHeadroom::default();
-    rooms.note(at(0), NodeId(1), 80, false);
-    rooms.note(at(1000), NodeId(2), 5, true);
-    assert_eq!(rooms.counts_from_reports(at(1000)), PeerHeadroomCounts { nodes: 2, busy: 1 });
+fn reports_of_an_unresponsive_node_expire() {
+    let mut peers = PeerHeadroom::default();
+    peers.note(at(0), NodeId(1), 80, false);
+    peers.note(at(1000), NodeId(2), 5, true);
+    assert_eq!(peers.counts_from_reports(at(1000)), PeerHeadroomCounts { nodes: 2, busy: 1 });
     assert_eq!(
-        rooms.counts_from_reports(at(1600)),
+        peers.counts_from_reports(at(1600)),
         PeerHeadroomCounts { nodes: 1, busy: 1 },
         "the first one fell silent"
     );
-    assert_eq!((rooms.percent_of(at(1600), NodeId(1)), rooms.percent_of(at(1600), NodeId(2))), (None, Some(5)));
-    assert_eq!(rooms.counts_from_reports(at(10_000)), PeerHeadroomCounts::default());
+    assert_eq!((peers.percent_of(at(1600), NodeId(1)), peers.percent_of(at(1600), NodeId(2))), (None, Some(5)));
+    assert_eq!(peers.counts_from_reports(at(10_000)), PeerHeadroomCounts::default());
 }
 
 /// Nodes hear of each other by sums that are made at different moments.
 #[test]
-fn a_sum_counts_before_single_reports_and_as_long_as_these() {
-    let mut rooms = PeerHeadroom::default();
-    rooms.note(at(0), NodeId(1), 80, false);
-    rooms.note_sum(at(100), PeerHeadroomCounts { nodes: 57, busy: 30 });
-    assert_eq!(rooms.all(at(200)), PeerHeadroomCounts { nodes: 57, busy: 30 });
-    rooms.note(at(3000), NodeId(1), 80, false);
-    assert_eq!(rooms.all(at(3000)), PeerHeadroomCounts { nodes: 1, busy: 0 }, "the sum is old");
+fn a_sum_takes_precedence_over_reports_until_it_expires() {
+    let mut peers = PeerHeadroom::default();
+    peers.note(at(0), NodeId(1), 80, false);
+    peers.note_sum(at(100), PeerHeadroomCounts { nodes: 57, busy: 30 });
+    assert_eq!(peers.all(at(200)), PeerHeadroomCounts { nodes: 57, busy: 30 });
+    peers.note(at(3000), NodeId(1), 80, false);
+    assert_eq!(peers.all(at(3000)), PeerHeadroomCounts { nodes: 1, busy: 0 }, "the sum is old");
 }
 
 #[test]
-fn a_figure_beyond_all_is_taken_as_full_room() {
-    let mut rooms = PeerHeadroom::default();
-    rooms.note(at(0), NodeId(1), 250, false);
-    assert_eq!(rooms.percent_of(at(0), NodeId(1)), Some(100));
+fn a_percentage_above_100_counts_as_full_headroom() {
+    let mut peers = PeerHeadroom::default();
+    peers.note(at(0), NodeId(1), 250, false);
+    assert_eq!(peers.percent_of(at(0), NodeId(1)), Some(100));
 }
