--- a/crates/core/src/headroom/gauge.rs
+++ b/crates/core/src/headroom/gauge.rs
@@ -1,41 +1,41 @@
-//! The room of this machine itself.
+//! Headroom of this machine.
 
 use super::{percent_left, Headroom, MachineCapacity, ProcessUsage};
 use crate::time::Instant;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time over which processor time and delays are measured: a machine that is paused by
-/// its limit for a part of a second has used that part's time before.
+/// Time over which processor time and delays are averaged. Covers several periods of a
+/// processor quota, which throttles a process for parts of a second.
 const WINDOW: Duration = Duration::from_secs(3);
-/// Time between two looks at what the process uses; each reads three files.
+/// Interval between samples of the process's usage; each sample reads three files.
 const SAMPLE_INTERVAL: Duration = Duration::from_secs(1);
-/// Processor time is not judged before it was measured for this time.
+/// Shortest span of samples from which processor headroom is computed.
 const MIN_MEASURED_TIME: Duration = Duration::from_secs(2);
-/// A machine with less room in percent is busy: where more than nine parts in ten are
-/// in use, what comes waits for a multiple of its own time.
+/// A machine with less headroom, in percent, becomes busy: queueing delay grows steeply
+/// at higher utilization.
 const BUSY_BELOW: u8 = 10;
-/// A busy machine with this room in percent is busy no more. The distance to
-/// [`BUSY_BELOW`] keeps a machine from changing with each small peak.
+/// A busy machine with at least this headroom, in percent, becomes free. The distance to
+/// [`BUSY_BELOW`] is hysteresis against short peaks.
 const FREE_AT: u8 = 30;
 
-/// A machine became busy, or is so no more.
+/// Change of a machine between busy and free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeadroomChange {
-    /// It has too little room.
+    /// The headroom fell below the lower bound.
     Busy,
-    /// It has room again.
+    /// The headroom reached the upper bound again.
     Free,
 }
 
-/// Measures the room of this machine.
+/// Measures the headroom of this machine.
 #[derive(Debug)]
 pub struct HeadroomGauge {
     capacity: MachineCapacity,
-    /// Processor time at each look in the window, and the last one before it.
+    /// Processor time at each sample in the window, and at the last one before it.
     samples: VecDeque<(Instant, Duration)>,
     sampled_at: Option<Instant>,
-    /// Mean of the delays, later ones counting more.
+    /// Moving average of the delays, weighted by time.
     delay: Duration,
     delay_at: Option<Instant>,
     headroom: Headroom,
@@ -43,7 +43,7 @@
 }
 
 impl HeadroomGauge {
-    /// A machine of which nothing is used yet.
+    /// Creates a gauge that has no samples and reports full headroom.
     pub fn new(capacity: MachineCapacity) -> Self {
         Self {
             capacity,
@@ -56,13 +56,13 @@
         }
     }
 
-    /// Whether limits are known, so that there is something to measure.
+    /// Whether the machine has any limit to measure against.
     pub fn has_limits(&self) -> bool {
         self.capacity.has_limits()
     }
 
-    /// A task ran so much later than it was due. `max_delay` is the delay with which no
-    /// answer is in time; zero if that is not known.
+    /// Records that a task ran `delay` after its due time. `max_delay` is the delay that
+    /// leaves no headroom; zero if there is no such limit.
     pub fn note_delay(&mut self, now: Instant, delay: Duration, max_delay: Duration) {
         let passed = self.delay_at.map_or(Duration::ZERO, |at| now.since(at));
         let weight = (passed.as_secs_f64() / WINDOW.as_secs_f64()).min(1.0);
@@ -72,12 +72,12 @@
         self.headroom.delay = percent_left(self.delay.as_secs_f64(), max_delay.as_secs_f64());
     }
 
-    /// Whether to look at what the process uses.
+    /// Whether the next usage sample is due.
     pub fn sample_is_due(&self, now: Instant) -> bool {
         self.has_limits() && self.sampled_at.is_none_or(|at| now.since(at) >= SAMPLE_INTERVAL)
     }
 
-    /// What the process uses now. Tells whether the machine has become busy or free.
+    /// Records a usage sample. Returns the change if the machine became busy or free.
     pub fn note_usage(&mut self, now: Instant, usage: &ProcessUsage) -> Option<HeadroomChange> {
         self.sampled_at = Some(now);
         if let Some(time) = usage.processor_time {
@@ -88,17 +88,17 @@
         self.update_busy()
     }
 
-    /// What is left of the limits.
+    /// Current headroom of each limit.
     pub fn headroom(&self) -> Headroom {
         self.headroom
     }
 
-    /// Mean delay of tasks.
+    /// Average delay of tasks.
     pub fn delay(&self) -> Duration {
         self.delay
     }
 
-    /// Whether the machine has too little room.
+    /// Whether the machine is busy.
     pub fn is_busy(&self) -> bool {
         self.busy
     }
--- a/crates/core/src/headroom/mod.rs
+++ b/crates/core/src/headroom/mod.rs
@@ -1,8 +1,8 @@
-//! What a machine can still carry.
+//! Headroom of machines: the free part of their CPU, memory and descriptors.
 //!
-//! The load that it answers: machines of one zone are small and unequal and carry the
-//! peak of its callers while others rest. A machine knows its own room, by what its
-//! process uses of the limits, and how much of the others has room, by what they tell.
+//! Machines differ in size, and a peak in one zone loads only its own machines. A node
+//! measures its own headroom from the usage of its process and receives that of the other
+//! nodes in their reports.
 
 mod gauge;
 mod peers;
@@ -12,14 +12,14 @@
 
 use std::time::Duration;
 
-/// Limits of the machine; zero where one is not known.
+/// Limits of the machine; zero means that the limit is unknown.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct MachineCapacity {
-    /// Processors that the process may use, in parts of one.
+    /// Processors that the process may use; may be a fraction.
     pub processors: f64,
-    /// Bytes of memory.
+    /// Memory in bytes.
     pub memory_bytes: u64,
-    /// Open descriptors.
+    /// Maximum of open descriptors.
     pub descriptors: u64,
 }
 
@@ -30,27 +30,27 @@
     }
 }
 
-/// What the process uses; `None` where it can't be told.
+/// Usage of the process; `None` where it cannot be measured.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ProcessUsage {
-    /// Processor time since its start.
+    /// Processor time since the start of the process.
     pub processor_time: Option<Duration>,
-    /// Bytes of resident memory.
+    /// Resident memory in bytes.
     pub memory_bytes: Option<u64>,
     /// Open descriptors.
     pub descriptors: Option<u64>,
 }
 
-/// What is left of each limit, in percent; 100 where it is not known.
+/// Free part of each limit in percent; 100 where the limit or the usage is unknown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Headroom {
-    /// Of the processor time, over the last seconds.
+    /// Processor time, averaged over the last seconds.
     pub processor: u8,
-    /// Of the time by which a task may run late: answers in time need it.
+    /// Delay of tasks, relative to the maximum delay that still allows timely answers.
     pub delay: u8,
-    /// Of the memory.
+    /// Memory.
     pub memory: u8,
-    /// Of the descriptors.
+    /// Open descriptors.
     pub descriptors: u8,
 }
 
@@ -61,12 +61,12 @@
 }
 
 impl Headroom {
-    /// What is left of the scarcest.
+    /// Headroom of the scarcest limit.
     pub fn least(&self) -> u8 {
         self.processor.min(self.delay).min(self.memory).min(self.descriptors)
     }
 
-    /// What is left of each limit, by its name.
+    /// Headroom of each limit with its name.
     pub fn by_limit(&self) -> [(&'static str, u8); 4] {
         [
             ("processor", self.processor),
@@ -76,7 +76,7 @@
         ]
     }
 
-    /// What is left of each limit here or in `other`, whichever is less.
+    /// Minimum of both headrooms for each limit.
     pub fn min_of_each(&self, other: &Headroom) -> Headroom {
         Headroom {
             processor: self.processor.min(other.processor),
@@ -87,10 +87,10 @@
     }
 }
 
-/// Percent that is left of a limit that nothing is used of.
+/// Headroom of an unused limit, in percent.
 const FULL: u8 = 100;
 
-/// Percent that is left where `used` of `limit` is taken.
+/// Free part of `limit` in percent; [`FULL`] if there is no limit.
 fn percent_left(used: f64, limit: f64) -> u8 {
     if limit <= 0.0 {
         return FULL;
--- a/crates/core/src/headroom/peers.rs
+++ b/crates/core/src/headroom/peers.rs
@@ -1,4 +1,4 @@
-//! The room of the other nodes, by what they tell.
+//! Headroom of the other nodes, from their reports.
 
 use super::FULL;
 use crate::identity::NodeId;
@@ -6,26 +6,26 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// What a node told of its room counts for this time: some reports may be lost.
+/// Time for which a report is valid; allows for a few lost reports.
 const REPORT_TTL: Duration = Duration::from_millis(1500);
 
-/// The rooms of several nodes.
+/// Counts of nodes by their headroom.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PeerHeadroomCounts {
-    /// Nodes that tell their room.
+    /// Nodes that report their headroom.
     pub nodes: u32,
-    /// Those that are busy.
+    /// Nodes among these that are busy.
     pub busy: u32,
 }
 
-/// The room of the other nodes. Holds one entry for each node that was heard lately, and
-/// none where sums are heard instead.
+/// Headroom of the other nodes: one entry for each node that reports directly, and the
+/// last sum from an aggregator.
 #[derive(Debug, Default)]
 pub struct PeerHeadroom {
     reports: HashMap<NodeId, Report>,
-    /// When entries of nodes that fell silent were dropped last.
+    /// Last time at which expired reports were removed.
     pruned_at: Instant,
-    /// By the last sum over all nodes.
+    /// Last sum over all nodes and its time of receipt.
     sum: Option<(Instant, PeerHeadroomCounts)>,
 }
 
@@ -37,9 +37,9 @@
 }
 
 impl PeerHeadroom {
-    /// Another node told its room in percent, and whether it is busy.
+    /// Records a node's report of its headroom in percent and whether the node is busy.
     pub fn note(&mut self, now: Instant, node: NodeId, percent: u8, busy: bool) {
-        // Not at each word: those that sum up hear all nodes several times a second.
+        // Not on every report: an aggregator receives several a second from each node.
         if now.since(self.pruned_at) >= REPORT_TTL {
             self.pruned_at = now;
             self.reports.retain(|_, report| now.since(report.at) < REPORT_TTL);
@@ -47,12 +47,12 @@
         self.reports.insert(node, Report { at: now, busy, percent: percent.min(FULL) });
     }
 
-    /// A node that sums up what all tell told of the others.
+    /// Records an aggregator's sum over the other nodes.
     pub fn note_sum(&mut self, now: Instant, counts: PeerHeadroomCounts) {
         self.sum = Some((now, counts));
     }
 
-    /// The nodes that are heard directly.
+    /// Counts the nodes that report directly.
     pub fn counts_from_reports(&self, now: Instant) -> PeerHeadroomCounts {
         let current = self.reports.values().filter(|report| now.since(report.at) < REPORT_TTL);
         let mut counts = PeerHeadroomCounts::default();
@@ -63,13 +63,13 @@
         counts
     }
 
-    /// The other nodes by the last sum, or as they are heard where there is none.
+    /// Counts of all other nodes: the last valid sum, else the direct reports.
     pub fn all(&self, now: Instant) -> PeerHeadroomCounts {
         let sum = self.sum.filter(|(at, _)| now.since(*at) < REPORT_TTL);
         sum.map_or_else(|| self.counts_from_reports(now), |(_, counts)| counts)
     }
 
-    /// The room of one node in percent, as it told lately.
+    /// Headroom of a node in percent, if its last report is still valid.
     pub fn percent_of(&self, now: Instant, node: NodeId) -> Option<u8> {
         self.reports.get(&node).filter(|report| now.since(report.at) < REPORT_TTL).map(|report| report.percent)
     }
--- a/crates/core/tests/machine_headroom.rs
+++ b/crates/core/tests/machine_headroom.rs
@@ -1,5 +1,4 @@
-//! Room of machines: small ones that carry a peak, slow ones, and what others believe of
-//! them.
+//! Headroom of machines under peaks and delays, and the reports of other nodes.
 
 use latchwheel_core::headroom::{
     HeadroomChange, HeadroomGauge, MachineCapacity, PeerHeadroom, PeerHeadroomCounts, ProcessUsage,
@@ -9,14 +8,14 @@
 use std::time::Duration;
 
 const SMALL: MachineCapacity = MachineCapacity { processors: 0.1, memory_bytes: 100 << 20, descriptors: 3000 };
-/// With a mean delay of this, no answer is in time.
+/// Average delay that leaves no headroom.
 const MAX_DELAY: Duration = Duration::from_millis(40);
 
 fn at(millis: u64) -> Instant {
     Instant::from_micros(1_000_000 + millis * 1000)
 }
 
-/// A machine whose process works as it is told, second by second.
+/// A machine with simulated usage, advanced second by second.
 struct Machine {
     gauge: HeadroomGauge,
     used: Duration,
@@ -29,7 +28,7 @@
         Self { gauge: HeadroomGauge::new(capacity), used: Duration::ZERO, second: 0, changes: Vec::new() }
     }
 
-    /// A second in which so much of a processor was used, and tasks ran so late.
+    /// Passes a second with this processor use, in processors, and this delay of tasks.
     fn pass(&mut self, processor: f64, delay: Duration) {
         self.pass_with(processor, delay, ProcessUsage::default());
     }
@@ -61,18 +60,18 @@
     for _ in 0..4 {
         machine.pass(0.08, Duration::ZERO);
     }
-    assert_eq!(machine.gauge.headroom().processor, 20, "what was before the last seconds counts no more");
+    assert_eq!(machine.gauge.headroom().processor, 20, "usage before the window does not count");
     assert_eq!(machine.gauge.headroom().least(), 20);
 }
 
 #[test]
 fn a_busy_machine_becomes_free_only_at_the_upper_bound() {
     let mut machine = Machine::new(SMALL);
-    // Peaks beside rests, as callers of one zone send them: the mean is what counts.
+    // Short peaks whose average stays between the bounds.
     for second in 0..30 {
         machine.pass(if second % 3 == 0 { 0.1 } else { 0.06 }, Duration::ZERO);
     }
-    assert_eq!(machine.changes, [], "room between the bounds is no news");
+    assert_eq!(machine.changes, [], "headroom between the bounds causes no change");
     for _ in 0..5 {
         machine.pass(0.1, Duration::ZERO);
     }
@@ -80,14 +79,14 @@
     for second in 0..30 {
         machine.pass(if second % 3 == 0 { 0.1 } else { 0.07 }, Duration::ZERO);
     }
-    assert_eq!(machine.changes.len(), 1, "a little room does not end it");
+    assert_eq!(machine.changes.len(), 1, "headroom below the upper bound leaves the machine busy");
     for _ in 0..5 {
         machine.pass(0.03, Duration::ZERO);
     }
     assert!(matches!(machine.changes[..], [_, (_, HeadroomChange::Free)]), "{:?}", machine.changes);
 }
 
-/// A machine that is slow for its neighbours' sake uses little processor time.
+/// A machine slowed by other processes on its host uses little processor time itself.
 #[test]
 fn a_machine_that_runs_tasks_late_is_busy_at_low_processor_use() {
     let mut machine = Machine::new(SMALL);
@@ -127,9 +126,9 @@
     assert_eq!((machine.gauge.headroom().memory, machine.gauge.headroom().descriptors), (60, 90));
     assert_eq!(machine.gauge.headroom().least(), 60);
     machine.pass_with(0.01, Duration::ZERO, usage(40, 2900));
-    assert!(machine.gauge.is_busy(), "no connection may be opened soon");
+    assert!(machine.gauge.is_busy(), "few descriptors are left");
     machine.pass_with(0.01, Duration::ZERO, usage(140, 300));
-    assert_eq!(machine.gauge.headroom().least(), 0, "more than the limit leaves nothing");
+    assert_eq!(machine.gauge.headroom().least(), 0, "usage above the limit leaves no headroom");
 }
 
 #[test]
@@ -144,7 +143,7 @@
     }
     assert_eq!(unreadable.headroom().least(), 100);
     unreadable.note_delay(at(10_000), Duration::from_secs(1), Duration::ZERO);
-    assert_eq!(unreadable.headroom().delay, 100, "nobody told when an answer is in time");
+    assert_eq!(unreadable.headroom().delay, 100, "there is no maximum delay");
 }
 
 #[test]
@@ -156,13 +155,12 @@
     assert_eq!(
         peers.counts_from_reports(at(1600)),
         PeerHeadroomCounts { nodes: 1, busy: 1 },
-        "the first one fell silent"
+        "the first report has expired"
     );
     assert_eq!((peers.percent_of(at(1600), NodeId(1)), peers.percent_of(at(1600), NodeId(2))), (None, Some(5)));
     assert_eq!(peers.counts_from_reports(at(10_000)), PeerHeadroomCounts::default());
 }
 
-/// Nodes hear of each other by sums that are made at different moments.
 #[test]
 fn a_sum_takes_precedence_over_reports_until_it_expires() {
     let mut peers = PeerHeadroom::default();
@@ -170,7 +168,7 @@
     peers.note_sum(at(100), PeerHeadroomCounts { nodes: 57, busy: 30 });
     assert_eq!(peers.all(at(200)), PeerHeadroomCounts { nodes: 57, busy: 30 });
     peers.note(at(3000), NodeId(1), 80, false);
-    assert_eq!(peers.all(at(3000)), PeerHeadroomCounts { nodes: 1, busy: 0 }, "the sum is old");
+    assert_eq!(peers.all(at(3000)), PeerHeadroomCounts { nodes: 1, busy: 0 }, "the sum has expired");
 }
 
 #[test]
