--- a/crates/core/src/configuration.rs
+++ b/crates/core/src/configuration.rs
@@ -1,89 +1,88 @@
-//! The configuration log: revision n of the table is the key
-//! `table/log/n` of the key-value service, created only if absent.
+//! The configuration log: revision n of the table is the key `table/log/n` of the
+//! key-value service, created only if absent.
 //!
-//! Whoever creates the key has made the revision, so racing operators are
-//! ordered by the service alone. An edit carries a random identity: when an
-//! answer is lost, reading the key back tells whose edit won. A node only
-//! moves up: it applies revision n + 1 to n and nothing else, or takes a
-//! snapshot of a higher revision.
+//! The edit that creates the key makes the revision, so the service alone orders racing
+//! edits. Each edit carries a random identity: if the answer to a create is lost, the
+//! identity in the stored key shows which edit succeeded. The revision at a node never
+//! decreases: the node applies only the next revision or a snapshot of a higher one.
 
 use crate::identity::{stable_hash, NodeId};
 use crate::table::{Edit, Table};
 use std::collections::VecDeque;
 use std::sync::Arc;
 
-/// Records that are kept to answer peers that lack them.
+/// Number of recent records held to serve peers that lack them.
 const RECENT_RECORDS: usize = 256;
-/// Every so many revisions, the node whose edit made one writes a snapshot.
+/// Number of revisions between snapshots; the node whose edit made the revision writes it.
 pub const SNAPSHOT_INTERVAL: u64 = 1000;
 
-/// Nodes of a region that watch the service; the others hear from them.
+/// Number of nodes in a region that watch the service; the others pull from their peers.
 pub const WATCHERS: usize = 3;
 
-/// Name by which rendezvous hashing picks the watchers of a region.
+/// Key for choosing the watchers of a region by rendezvous hashing.
 pub fn watch_name() -> u64 {
     stable_hash(b"table/log/")
 }
 
-/// One revision of the log.
+/// A revision of the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
-    /// The revision that the edit made.
+    /// Revision that the edit made.
     pub revision: u64,
-    /// The edit.
+    /// Edit stored under the revision.
     pub edit: Edit,
 }
 
-/// What happens to the log.
+/// Input of the log.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// An operator's edit, with the revision that it was based on, if named.
+    /// An operator's edit, with the revision that it is based on, if given.
     Propose(Edit, Option<u64>),
     /// The key of the revision was created with this edit.
     Created(u64, Edit),
-    /// The key of the revision existed, or was read: with this edit.
+    /// The key of the revision exists and holds this edit.
     Found(u64, Edit),
-    /// The key of the revision exists but its edit was folded into a snapshot.
+    /// The key of the revision exists but its edit was compacted into a snapshot.
     Compacted(u64),
-    /// The key of the revision was read and is absent.
+    /// The key of the revision does not exist.
     Absent(u64),
-    /// It can't be told whether the key was created.
+    /// The outcome of creating the key of the revision is unknown.
     AnswerLost(u64),
-    /// The service was away for too long for the present edit.
+    /// The service was unavailable until the current edit timed out.
     EditTimedOut,
-    /// Records came from the service's watch or from a peer.
+    /// Records received from the service's watch or from a peer.
     Records(Vec<Record>),
-    /// A whole table came from the service's snapshot or from a peer.
+    /// A whole table received from the service's snapshot or from a peer.
     Snapshot(Table),
-    /// A peer was heard to be at this revision.
+    /// A peer reported this revision.
     PeerAt(NodeId, u64),
 }
 
-/// What became of an operator's edit.
+/// Outcome of an operator's edit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EditOutcome {
-    /// It made this revision.
+    /// The edit made this revision.
     InForce(u64),
-    /// The table had moved on from the named revision to this one.
+    /// The edit's base revision is not the current revision, which is given here.
     Conflict(u64),
-    /// The service was away; the edit may or may not be in force later.
+    /// The service was unavailable; the edit may still take effect.
     Unknown,
 }
 
-/// What the runtime has to do.
+/// Action for the runtime.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    /// Create the key of this revision, if absent, with this edit.
+    /// Create the key of this revision with this edit, only if absent.
     Create(u64, Edit),
     /// Read the key of this revision.
     Read(u64),
-    /// Load the service's snapshot and the records behind it.
+    /// Load the service's snapshot and the records after it.
     LoadSnapshot,
-    /// Ask a peer for all records after this revision.
+    /// Request all records after this revision from a peer.
     Pull(NodeId, u64),
-    /// Tell the operator whose edit has this identity.
+    /// Return the outcome to the operator whose edit has this identity.
     Answer(u64, EditOutcome),
-    /// The table is in force here.
+    /// Put the table in force on this node.
     Publish(Arc<Table>),
     /// Write the table as the service's snapshot.
     WriteSnapshot(Arc<Table>),
@@ -95,19 +94,19 @@
     based_on: Option<u64>,
 }
 
-/// The configuration log as one node sees it.
+/// One node's copy of the configuration log.
 #[derive(Debug, Default)]
 pub struct ConfigurationLog {
     table: Arc<Table>,
     recent: VecDeque<Record>,
     waiting: VecDeque<PendingEdit>,
-    /// Revision whose key is being created for the first waiting edit.
+    /// Revision for which a create of the first waiting edit is in progress.
     creating: Option<u64>,
     ready: bool,
 }
 
 impl ConfigurationLog {
-    /// A log that knows nothing yet.
+    /// Creates an empty log that is not ready.
     pub fn new() -> Self {
         Self::default()
     }
@@ -117,22 +116,22 @@
         &self.table
     }
 
-    /// Whether the node has taken a table from the service or from a peer.
+    /// Whether the node has received a table or an answer from the service or a peer.
     pub fn is_ready(&self) -> bool {
         self.ready
     }
 
-    /// Marks the log ready: the service or a peer was asked and answered.
+    /// Marks the log ready after an answer from the service or a peer.
     pub fn mark_ready(&mut self) {
         self.ready = true;
     }
 
-    /// Recent records, the oldest first.
+    /// Recent records, oldest first.
     pub fn history(&self) -> impl Iterator<Item = &Record> {
         self.recent.iter()
     }
 
-    /// Records after a revision, or `None` if a snapshot must be sent.
+    /// Records after `revision`, or `None` if a peer needs a snapshot instead.
     pub fn records_after(&self, revision: u64) -> Option<Vec<Record>> {
         if revision >= self.table.revision {
             return Some(Vec::new());
@@ -142,7 +141,7 @@
             .then(|| self.recent.iter().filter(|record| record.revision > revision).cloned().collect())
     }
 
-    /// Takes an event and says what to do.
+    /// Handles an event and returns the actions to execute.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         match event {
@@ -196,7 +195,7 @@
         }
     }
 
-    /// The key of the revision holds this edit, whoever made it.
+    /// Applies the edit that the key of the revision holds, of this or another node.
     fn found(&mut self, revision: u64, edit: Edit, actions: &mut Vec<Action>) {
         self.records(vec![Record { revision, edit }], actions);
     }
@@ -205,8 +204,8 @@
         if self.creating != Some(revision) {
             return;
         }
-        // Creating again is safe: the first create may still take effect, and
-        // then the key holds this very edit.
+        // Retrying is safe: if the first create still takes effect, the key holds
+        // the same edit.
         if let Some(pending) = self.waiting.front() {
             actions.push(Action::Create(revision, pending.edit.clone()));
         }
@@ -247,8 +246,8 @@
         }
     }
 
-    /// If another's edit took the revision that was being created, the own
-    /// one is based anew or, where it named a revision, told of the conflict.
+    /// If another edit took the revision that was being created, retries the waiting edit
+    /// on the current revision, or reports a conflict if that edit names its base revision.
     fn rebase_waiting_edit(&mut self, actions: &mut Vec<Action>) {
         if self.creating.is_some_and(|revision| revision <= self.table.revision) {
             self.creating = None;
--- a/crates/core/tests/configuration.rs
+++ b/crates/core/tests/configuration.rs
@@ -1,5 +1,4 @@
-//! The configuration log: racing operators, lost answers, outages, under
-//! random orders.
+//! The configuration log with racing edits, lost answers and outages, in random order.
 
 use latchwheel_core::configuration::{Action, ConfigurationLog, EditOutcome, Event, Record};
 use latchwheel_core::identity::NodeId;
@@ -28,7 +27,7 @@
     Edit { identity, operator: "operator".into(), change: Change::Put(row(&format!("row-{}", identity % 5), 1.0)) }
 }
 
-/// The key-value service: it creates a key only if it is absent.
+/// Simulated key-value service that creates a key only if it is absent.
 #[derive(Default)]
 struct KeyValueService {
     log: BTreeMap<u64, Edit>,
@@ -60,10 +59,10 @@
         for action in self.nodes[node].handle(event) {
             match action {
                 Action::Answer(identity, outcome) => {
-                    assert!(self.outcomes.insert(identity, outcome).is_none(), "an edit is answered once");
+                    assert!(self.outcomes.insert(identity, outcome).is_none(), "an edit was answered twice");
                 }
                 Action::Publish(table) => {
-                    assert!(table.revision > self.published[node], "a node moves up only");
+                    assert!(table.revision > self.published[node], "the revision at a node decreased");
                     self.published[node] = table.revision;
                 }
                 other => self.pending[node].push_back(other),
@@ -71,7 +70,7 @@
         }
     }
 
-    /// Carries out one waiting action of a node, with a random fate.
+    /// Executes a node's next pending action.
     fn step(&mut self, node: usize) {
         let Some(action) = self.pending[node].pop_front() else { return };
         match action {
@@ -104,7 +103,7 @@
     fn create(&mut self, node: usize, revision: u64, edit: Edit) {
         let fate = self.random.random_range(0..10);
         if self.service.unavailable || fate == 0 {
-            // Not sent: tried again, or given up.
+            // The create is not sent: it times out or is retried.
             if fate < 3 {
                 self.handle(node, Event::EditTimedOut);
             } else {
@@ -136,7 +135,7 @@
             }
             self.gossip();
         }
-        // A watcher reads what the service has.
+        // The watch delivers all records.
         let records: Vec<Record> = self
             .service
             .log
