--- a/crates/core/src/identity.rs
+++ b/crates/core/src/identity.rs
@@ -1,28 +1,28 @@
-//! Identities of nodes, servers and pieces of work.
+//! Identities of nodes, servers and work, and the stable hashes that derive them.
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// A node; derived from its name and the identity of its start.
+/// Identity of a node; derived from its name and the identity of its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeId(pub u64);
 
-/// A model server; derived from its name.
+/// Identity of a model server; derived from its name.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerId(pub u64);
 
-/// A piece of work inside one node: an online request or a batch item.
+/// Identity of an online request or a batch item within one node.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkId(pub u64);
 
 impl NodeId {
-    /// The identity that goes with a name.
+    /// Derives the identity from a name.
     pub fn of_name(name: &str) -> Self {
         Self(stable_hash(name.as_bytes()))
     }
 }
 
 impl ServerId {
-    /// The identity that goes with a name.
+    /// Derives the identity from a name.
     pub fn of_name(name: &str) -> Self {
         Self(stable_hash(name.as_bytes()))
     }
@@ -38,7 +38,7 @@
     xxh3_64_with_seed(&first.to_le_bytes(), second)
 }
 
-/// Hasher for keys that are hashes already.
+/// Hasher for keys that already are hashes; uses them as they are.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PrehashedKeyHasher(u64);
 
@@ -56,5 +56,5 @@
     }
 }
 
-/// Map whose keys are hashes already.
+/// Map whose keys already are hashes.
 pub type HashKeyMap<K, V> = std::collections::HashMap<K, V, std::hash::BuildHasherDefault<PrehashedKeyHasher>>;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,10 +1,8 @@
-//! The decisions of latchwheel as state machines without clock, socket, disk
-//! or task.
+//! The decision logic of latchwheel as state machines that do no I/O.
 //!
-//! Every machine takes the present time and an event and gives back actions.
-//! The runtime crates feed the machines and carry the actions out, so that
-//! the same code runs in a node and in seeded simulations. Time enters as [`time::Instant`], randomness as a
-//! seeded generator.
+//! Each state machine takes the current time and an event and returns actions, which the
+//! runtime crates execute. Time is passed in as [`time::Instant`] and randomness as a seeded
+//! generator, so that the same code runs in a node and in deterministic simulations.
 
 pub mod abandoned_requests;
 pub mod admission;
--- a/crates/core/src/table.rs
+++ b/crates/core/src/table.rs
@@ -6,20 +6,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Longest name of a row, service, model or adapter, in bytes.
+/// Maximum length of the name of a row, service, model or adapter, in bytes.
 pub const MAX_NAME_BYTES: usize = 128;
-/// Most rows that a table may hold.
+/// Maximum number of rows in a table.
 pub const MAX_ROWS: usize = 20_000;
 const WEIGHT_LIMIT: f64 = 1.0e6;
 
-/// Whether work is waited for by somebody.
+/// Whether a caller waits for the result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Class {
-    /// Somebody waits for the answer; goes before all batch work.
+    /// A caller waits for the answer; precedes all batch work.
     #[default]
     Online,
-    /// Nobody waits; runs in idle room.
+    /// No caller waits; runs in idle slots.
     Batch,
 }
 
@@ -27,15 +27,15 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Limits {
-    /// Requests a second over all nodes.
+    /// Requests per second over all nodes.
     pub requests_per_second: f64,
-    /// Requests in progress at once, per region.
+    /// Concurrent requests per region.
     pub concurrency: u32,
     /// Requests waiting at one owner.
     pub queue: u32,
-    /// Tokens a second over all nodes.
+    /// Tokens per second over all nodes.
     pub tokens_per_second: f64,
-    /// Longest predicted wait for the first token, in milliseconds.
+    /// Maximum predicted wait for the first token, in milliseconds.
     pub first_token_milliseconds: u64,
 }
 
@@ -43,9 +43,9 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct RetryPolicy {
-    /// Attempts in all, the first one included.
+    /// Maximum attempts, including the first.
     pub attempts: u32,
-    /// Retries allowed per hundred requests.
+    /// Retries allowed per 100 requests.
     pub budget_percent: u32,
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// One row of the table.
+/// A row of the table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Row {
@@ -69,19 +69,19 @@
     pub weight: f64,
     /// Service whose servers do the work.
     pub service: String,
-    /// Model or adapter; empty means the service's own.
+    /// Model or adapter; empty means the service's default.
     #[serde(default)]
     pub model: String,
-    /// Limits.
+    /// Limits on rate, concurrency, queue and wait.
     #[serde(default)]
     pub limits: Limits,
-    /// Retry policy.
+    /// Limits on retries.
     #[serde(default)]
     pub retry: RetryPolicy,
-    /// Time that the work may take, in milliseconds; zero means no deadline.
+    /// Maximum time for the work, in milliseconds; zero means no deadline.
     #[serde(default)]
     pub deadline_milliseconds: u64,
-    /// Time for which results are kept after the end, in seconds; zero means for ever.
+    /// Retention time of results after the work ends, in seconds; zero means unlimited.
     #[serde(default)]
     pub retention_seconds: u64,
 }
@@ -91,10 +91,10 @@
 }
 
 impl Row {
-    /// Checks the row.
+    /// Validates the fields of the row.
     ///
     /// # Errors
-    /// [`RowError`] naming the field and what it allows.
+    /// [`RowError`] for the first invalid field.
     pub fn check(&self) -> Result<(), RowError> {
         for (field, value) in [("name", &self.name), ("service", &self.service)] {
             if value.is_empty() || value.len() > MAX_NAME_BYTES {
@@ -127,28 +127,28 @@
         Ok(())
     }
 
-    /// Longest predicted wait, where the row limits it.
+    /// Maximum predicted wait for the first token, if the row limits it.
     pub fn first_token_limit(&self) -> Option<Duration> {
         let limit = self.limits.first_token_milliseconds;
         (limit > 0).then(|| Duration::from_millis(limit))
     }
 }
 
-/// A field of a row with a value that is not allowed.
+/// A row field with an invalid value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RowError {
-    /// The field.
+    /// Name of the field.
     pub field: &'static str,
-    /// What it allows.
+    /// Description of the allowed values.
     pub allowed: &'static str,
 }
 
 impl RowError {
-    /// The code that goes with the fault.
+    /// Result code for an invalid row.
     pub const CODE: ResultCode = ResultCode::BadRow;
 }
 
-/// One change of the table.
+/// A change of the table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Change {
@@ -156,14 +156,14 @@
     Put(Row),
     /// Removes the row of this name.
     Delete(String),
-    /// Gives a tenant a key, of which only the hash is kept.
+    /// Adds a key for a tenant; only its hash is stored.
     AddKey(TenantKeyHash),
 }
 
-/// A tenant's key, as kept.
+/// A tenant's key as stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantKeyHash {
-    /// Tenant.
+    /// Name of the tenant.
     pub tenant: String,
     /// Hash of the key.
     pub hash: String,
@@ -172,22 +172,21 @@
 /// An edit, as stored under its revision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Edit {
-    /// Random identity: tells whose edit made a revision.
+    /// Random identity that distinguishes racing edits.
     pub identity: u64,
-    /// Who made it.
+    /// Operator who made the edit.
     pub operator: String,
-    /// What it changes.
+    /// Change to the table.
     pub change: Change,
 }
 
-/// The table at one revision. Its maps share what an edit leaves alone, so
-/// that a copy of thousands of rows costs nothing and two revisions are
-/// compared by what differs.
+/// The table at one revision. The persistent maps share unchanged parts between
+/// revisions, so that cloning is cheap and a comparison visits only the differences.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Table {
-    /// Number of edits so far.
+    /// Number of applied edits.
     pub revision: u64,
-    /// The rows by name.
+    /// Rows by name.
     pub rows: OrdMap<String, Arc<Row>>,
     /// Tenants by the hashes of their keys.
     #[serde(default)]
@@ -195,7 +194,7 @@
 }
 
 impl Table {
-    /// Applies the edit that made the next revision.
+    /// Applies the edit that creates the next revision.
     pub fn apply(&mut self, edit: &Edit) {
         match &edit.change {
             Change::Put(row) => {
@@ -211,7 +210,7 @@
         self.revision += 1;
     }
 
-    /// Rows that another revision lacks or has otherwise.
+    /// Rows that were added or changed since `other`.
     pub fn rows_changed_since(&self, other: &Table) -> Vec<Arc<Row>> {
         use imbl::ordmap::DiffItem;
         other
@@ -225,8 +224,8 @@
             .collect()
     }
 
-    /// The row that a request without a row header belongs to: the first
-    /// row of the class whose model, or else service, has this name.
+    /// Row for a request without a row header: the first row of the class whose model,
+    /// or else service, has this name.
     pub fn row_for(&self, class: Class, model: &str) -> Option<&Arc<Row>> {
         let of_class = || self.rows.values().filter(move |row| row.class == class);
         of_class().find(|row| row.model == model).or_else(|| of_class().find(|row| row.service == model))
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,4 +1,4 @@
-//! Monotonic time as a value.
+//! Monotonic time and wall time as plain values.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
@@ -8,7 +8,7 @@
 pub struct Instant(u64);
 
 impl Instant {
-    /// A point so many microseconds after the origin.
+    /// The instant `micros` microseconds after the origin.
     pub const fn from_micros(micros: u64) -> Self {
         Self(micros)
     }
@@ -18,7 +18,7 @@
         self.0
     }
 
-    /// Time passed since `earlier`, or zero where `earlier` is later.
+    /// Time since `earlier`, or zero if `earlier` is later.
     pub fn since(self, earlier: Instant) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -40,13 +40,13 @@
     }
 }
 
-/// A time of day, in milliseconds since 1970: for what must be understood by other
-/// nodes and after a restart. Clocks of nodes may differ by seconds.
+/// Wall time in milliseconds since the Unix epoch, for values that are shared between
+/// nodes or outlive a restart. Clocks of nodes may differ by seconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WallTime(pub u64);
 
 impl WallTime {
-    /// Time left until this one, or zero where it has passed.
+    /// Time from `now` until this time, or zero if it has passed.
     pub fn left_at(self, now: WallTime) -> Duration {
         Duration::from_millis(self.0.saturating_sub(now.0))
     }
