--- a/crates/core/src/code.rs
+++ b/crates/core/src/code.rs
@@ -1,9 +1,9 @@
-//! Numbered result codes. `docs/RESULT-CODES.md` holds the table; a test
-//! compares the two.
+//! Numbered result codes. `docs/RESULT-CODES.md` is generated from them, and a test
+//! checks that it is current.
 
 use serde::Serialize;
 
-/// Whether a request ran, as far as the answer can tell.
+/// Whether a request ran on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Ran {
@@ -11,12 +11,12 @@
     NotRun,
     /// The request ran, at least in part.
     Ran,
-    /// It can't be told whether the request ran.
+    /// Whether the request ran is unknown.
     Unknown,
 }
 
 impl Ran {
-    /// The word used in answers.
+    /// Text used in answers.
     pub fn as_str(self) -> &'static str {
         match self {
             Ran::NotRun => "not-run",
@@ -28,16 +28,16 @@
 
 macro_rules! result_codes {
     ($($(#[doc = $text:literal])+ $name:ident = $number:literal, $status:literal, $ran:ident;)+) => {
-        /// Result of a request or an item; numbers are never used again.
+        /// Result of a request or an item. Numbers are never reused.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
         #[repr(u32)]
         pub enum ResultCode { $($(#[doc = $text])+ $name = $number,)+ }
 
         impl ResultCode {
-            /// Every code, in order.
+            /// All codes in order.
             pub const ALL: &'static [ResultCode] = &[$(ResultCode::$name,)+];
 
-            /// HTTP status that goes with the code.
+            /// HTTP status for the code.
             pub fn http_status(self) -> u16 {
                 match self { $(ResultCode::$name => $status,)+ }
             }
@@ -47,12 +47,12 @@
                 match self { $(ResultCode::$name => Ran::$ran,)+ }
             }
 
-            /// Name as used in answers and in the table.
+            /// Name used in answers and in the generated page.
             pub fn name(self) -> &'static str {
                 match self { $(ResultCode::$name => stringify!($name),)+ }
             }
 
-            /// One sentence on what happened.
+            /// Description of the result in one sentence.
             pub fn text(self) -> &'static str {
                 match self { $(ResultCode::$name => concat!($($text),+).trim_ascii(),)+ }
             }
@@ -72,7 +72,7 @@
     Accepted = 1001, 200, NotRun;
     /// The work was cancelled by its owner.
     Cancelled = 1002, 200, Unknown;
-    /// The request is no valid JSON object of this interface.
+    /// The request is not a valid JSON object for this interface.
     BadRequest = 2000, 400, NotRun;
     /// The key is missing or wrong.
     Unauthorized = 2001, 401, NotRun;
@@ -84,15 +84,15 @@
     SlowBody = 2004, 408, NotRun;
     /// A header has an invalid value.
     BadHeader = 2005, 400, NotRun;
-    /// The method does not go with the path.
+    /// The path does not support the method.
     BadMethod = 2006, 405, NotRun;
     /// No row of the table matches the request.
     NoRow = 2007, 404, NotRun;
     /// Another body was sent before under the same idempotency key.
     KeyReused = 2008, 409, NotRun;
-    /// The caller went away before its answer was whole.
+    /// The caller disconnected before the answer was complete.
     CallerGone = 2009, 499, Unknown;
-    /// A field stands twice in the body.
+    /// A field occurs twice in the body.
     DuplicateField = 2010, 400, NotRun;
     /// The row's rate limit is used up.
     RateLimited = 3000, 429, NotRun;
@@ -102,19 +102,19 @@
     WaitTooLong = 3002, 429, NotRun;
     /// No server offers the service at present.
     NoServer = 3003, 503, NotRun;
-    /// The node is leaving and takes no new work.
+    /// The node is draining and accepts no new work.
     Leaving = 3004, 503, NotRun;
     /// The request's deadline passed before it was started.
     DeadlinePassed = 3005, 504, NotRun;
-    /// The node does not know enough to serve this yet, or no more.
+    /// The node does not have the current state needed to serve this request.
     NotReady = 3006, 503, NotRun;
-    /// Servers that ran this request ended; it is not run for now.
+    /// Servers crashed while running this request; it is quarantined for a limited time.
     Quarantined = 3007, 503, NotRun;
-    /// Others go first for the slots of its time, by precedence or by their tenants' shares.
+    /// Other requests go first for the free slots, by precedence or by tenant share.
     CrowdedOut = 3010, 429, NotRun;
-    /// The request was started before and its result can't be told.
+    /// The request was started before and its result is unknown.
     OutcomeUnknown = 4000, 502, Unknown;
-    /// The engine broke off the answer; the request may be sent again.
+    /// The engine ended the answer early; the request may be sent again.
     StreamCut = 4001, 502, Ran;
     /// The engine refused the request as invalid.
     EngineRejected = 4002, 400, NotRun;
@@ -128,7 +128,7 @@
     BadRow = 5001, 400, NotRun;
     /// The key-value service did not answer; the edit may be in force later.
     PlatformAway = 5002, 503, Unknown;
-    /// The node that was asked does not lead the store group.
+    /// The node that received the request is not the leader of the store group.
     NotLeader = 6000, 503, NotRun;
     /// The store group has no quorum at present.
     NoQuorum = 6001, 503, Unknown;
@@ -138,14 +138,14 @@
     Damaged = 6003, 500, Unknown;
     /// The file is not sealed yet or holds no item.
     FileNotReady = 6004, 409, NotRun;
-    /// The job has ended and takes no change.
+    /// The job has ended and cannot be changed.
     JobEnded = 6005, 409, NotRun;
     /// An order with a higher fencing epoch was seen before.
     Fenced = 7000, 409, NotRun;
 }
 
 impl ResultCode {
-    /// The number as sent between processes.
+    /// Number sent between processes.
     pub fn number(self) -> u32 {
         self as u32
     }
