--- a/crates/core/src/table.rs
+++ b/crates/core/src/table.rs
@@ -10,7 +10,7 @@
 pub const MAX_NAME_BYTES: usize = 128;
 /// Maximum number of rows in a table.
 pub const MAX_ROWS: usize = 20_000;
-const WEIGHT_LIMIT: f64 = 1.0e6;
+const MAX_WEIGHT: f64 = 1.0e6;
 
 /// Whether a caller waits for the result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -107,7 +107,7 @@
         if self.model.len() > MAX_NAME_BYTES {
             return Err(RowError { field: "model", allowed: "at most 128 bytes" });
         }
-        if !(self.weight > 0.0 && self.weight <= WEIGHT_LIMIT) {
+        if !(self.weight > 0.0 && self.weight <= MAX_WEIGHT) {
             return Err(RowError { field: "weight", allowed: "above 0, at most 1000000" });
         }
         for (field, value) in [
