--- a/crates/core/src/headroom/mod.rs
+++ b/crates/core/src/headroom/mod.rs
@@ -24,7 +24,7 @@
 }
 
 impl MachineCapacity {
-    /// Whether any limit is known.
+    /// Whether the machine has any limit.
     pub fn has_limits(&self) -> bool {
         self.processors > 0.0 || self.memory_bytes > 0 || self.descriptors > 0
     }
