--- a/crates/core/tests/machine_headroom.rs
+++ b/crates/core/tests/machine_headroom.rs
@@ -1,5 +1,4 @@
-//! Room of machines: small ones that carry a peak, slow ones, and what others believe of
-//! them.
+//! Headroom of machines under peaks and delays, and the reports of other nodes.
 
 use latchwheel_core::headroom::{
     HeadroomChange, HeadroomGauge, MachineCapacity, PeerHeadroom, PeerHeadroomCounts, ProcessUsage,
@@ -9,14 +8,14 @@
 use std::time::Duration;
 
 const SMALL: MachineCapacity = MachineCapacity { processors: 0.1, memory_bytes: 100 << 20, descriptors: 3000 };
-/// With a mean delay of this, no answer is in time.
-const BEARABLE: Duration = Duration::from_millis(40);
+/// Average delay that leaves no headroom.
+const MAX_DELAY: Duration = Duration::from_millis(40);
 
 fn at(millis: u64) -> Instant {
     Instant::from_micros(1_000_000 + millis * 1000)
 }
 
-/// A machine whose process works as it is told, second by second.
+/// A machine with simulated usage, advanced second by second.
 struct Machine {
     gauge: HeadroomGauge,
     used: Duration,
@@ -29,14 +28,14 @@
         Self { gauge: HeadroomGauge::new(capacity), used: Duration::ZERO, second: 0, changes: Vec::new() }
     }
 
-    /// A second in which so much of a processor was used, and tasks ran so late.
+    /// Passes a second with this processor use, in processors, and this delay of tasks.
     fn pass(&mut self, processor: f64, delay: Duration) {
         self.pass_with(processor, delay, ProcessUsage::default());
     }
 
     fn pass_with(&mut self, processor: f64, delay: Duration, usage: ProcessUsage) {
-        for look in 0..10 {
-            self.gauge.note_delay(at(self.second * 1000 + look * 100), delay, BEARABLE);
+        for sample in 0..10 {
+            self.gauge.note_delay(at(self.second * 1000 + sample * 100), delay, MAX_DELAY);
         }
         self.second += 1;
         self.used += Duration::from_secs_f64(processor);
@@ -52,27 +51,27 @@
 }
 
 #[test]
-fn room_is_what_is_left_of_the_processor_time_of_the_last_seconds() {
+fn headroom_counts_only_recent_processor_time() {
     let mut machine = Machine::new(SMALL);
     for _ in 0..10 {
         machine.pass(0.025, Duration::ZERO);
     }
-    assert_eq!(machine.gauge.room().processor, 75);
+    assert_eq!(machine.gauge.headroom().processor, 75);
     for _ in 0..4 {
         machine.pass(0.08, Duration::ZERO);
     }
-    assert_eq!(machine.gauge.room().processor, 20, "what was before the last seconds counts no more");
-    assert_eq!(machine.gauge.room().least(), 20);
+    assert_eq!(machine.gauge.headroom().processor, 20, "usage before the window does not count");
+    assert_eq!(machine.gauge.headroom().least(), 20);
 }
 
 #[test]
-fn a_machine_at_its_limit_is_busy_and_is_free_only_with_clearly_more_room() {
+fn a_busy_machine_becomes_free_only_at_the_upper_bound() {
     let mut machine = Machine::new(SMALL);
-    // Peaks beside rests, as callers of one zone send them: the mean is what counts.
+    // Short peaks whose average stays between the bounds.
     for second in 0..30 {
         machine.pass(if second % 3 == 0 { 0.1 } else { 0.06 }, Duration::ZERO);
     }
-    assert_eq!(machine.changes, [], "room between the bounds is no news");
+    assert_eq!(machine.changes, [], "headroom between the bounds causes no change");
     for _ in 0..5 {
         machine.pass(0.1, Duration::ZERO);
     }
@@ -80,37 +79,37 @@
     for second in 0..30 {
         machine.pass(if second % 3 == 0 { 0.1 } else { 0.07 }, Duration::ZERO);
     }
-    assert_eq!(machine.changes.len(), 1, "a little room does not end it");
+    assert_eq!(machine.changes.len(), 1, "headroom below the upper bound leaves the machine busy");
     for _ in 0..5 {
         machine.pass(0.03, Duration::ZERO);
     }
     assert!(matches!(machine.changes[..], [_, (_, HeadroomChange::Free)]), "{:?}", machine.changes);
 }
 
-/// A machine that is slow for its neighbours' sake uses little processor time.
+/// A machine slowed by other processes on its host uses little processor time itself.
 #[test]
-fn a_machine_that_runs_everything_late_is_busy_whatever_it_uses() {
+fn a_machine_that_runs_tasks_late_is_busy_at_low_processor_use() {
     let mut machine = Machine::new(SMALL);
     for _ in 0..5 {
         machine.pass(0.01, Duration::from_millis(1));
     }
-    assert!(machine.gauge.room().least() > 80, "{:?}", machine.gauge.room());
+    assert!(machine.gauge.headroom().least() > 80, "{:?}", machine.gauge.headroom());
     for _ in 0..12 {
-        machine.pass(0.01, BEARABLE);
+        machine.pass(0.01, MAX_DELAY);
     }
-    assert!(machine.gauge.is_busy(), "{:?}", machine.gauge.room());
-    assert_eq!(machine.gauge.room().processor, 90);
+    assert!(machine.gauge.is_busy(), "{:?}", machine.gauge.headroom());
+    assert_eq!(machine.gauge.headroom().processor, 90);
 }
 
 #[test]
-fn one_late_moment_makes_no_machine_busy() {
+fn a_single_late_task_does_not_make_a_machine_busy() {
     let mut machine = Machine::new(SMALL);
     for _ in 0..5 {
         machine.pass(0.01, Duration::ZERO);
     }
     let now = at((machine.second + 1) * 1000);
-    machine.gauge.note_delay(now - Duration::from_millis(100), Duration::ZERO, BEARABLE);
-    machine.gauge.note_delay(now, BEARABLE * 2, BEARABLE);
+    machine.gauge.note_delay(now - Duration::from_millis(100), Duration::ZERO, MAX_DELAY);
+    machine.gauge.note_delay(now, MAX_DELAY * 2, MAX_DELAY);
     assert_eq!(machine.gauge.note_usage(now, &ProcessUsage::default()), None);
     assert!(!machine.gauge.is_busy());
 }
@@ -124,54 +123,57 @@
         ..ProcessUsage::default()
     };
     machine.pass_with(0.01, Duration::ZERO, usage(40, 300));
-    assert_eq!((machine.gauge.room().memory, machine.gauge.room().descriptors), (60, 90));
-    assert_eq!(machine.gauge.room().least(), 60);
+    assert_eq!((machine.gauge.headroom().memory, machine.gauge.headroom().descriptors), (60, 90));
+    assert_eq!(machine.gauge.headroom().least(), 60);
     machine.pass_with(0.01, Duration::ZERO, usage(40, 2900));
-    assert!(machine.gauge.is_busy(), "no connection may be opened soon");
+    assert!(machine.gauge.is_busy(), "few descriptors are left");
     machine.pass_with(0.01, Duration::ZERO, usage(140, 300));
-    assert_eq!(machine.gauge.room().least(), 0, "more than the limit leaves nothing");
+    assert_eq!(machine.gauge.headroom().least(), 0, "usage above the limit leaves no headroom");
 }
 
 #[test]
-fn what_is_not_known_takes_no_room() {
+fn missing_limits_and_usage_leave_full_headroom() {
     let mut unlimited = Machine::new(MachineCapacity::default());
-    assert!(!unlimited.gauge.measures());
+    assert!(!unlimited.gauge.has_limits());
     unlimited.pass(5.0, Duration::ZERO);
-    assert_eq!(unlimited.gauge.room().least(), 100);
+    assert_eq!(unlimited.gauge.headroom().least(), 100);
     let mut unreadable = HeadroomGauge::new(SMALL);
     for second in 0..10 {
         assert_eq!(unreadable.note_usage(at(second * 1000), &ProcessUsage::default()), None);
     }
-    assert_eq!(unreadable.room().least(), 100);
+    assert_eq!(unreadable.headroom().least(), 100);
     unreadable.note_delay(at(10_000), Duration::from_secs(1), Duration::ZERO);
-    assert_eq!(unreadable.room().delay, 100, "nobody told when an answer is in time");
+    assert_eq!(unreadable.headroom().delay, 100, "there is no maximum delay");
 }
 
 #[test]
-fn what_a_silent_node_told_counts_no_more() {
-    let mut rooms = PeerHeadroom::default();
-    rooms.note(at(0), NodeId(1), 80, false);
-    rooms.note(at(1000), NodeId(2), 5, true);
-    assert_eq!(rooms.heard(at(1000)), PeerHeadroomCounts { nodes: 2, busy: 1 });
-    assert_eq!(rooms.heard(at(1600)), PeerHeadroomCounts { nodes: 1, busy: 1 }, "the first one fell silent");
-    assert_eq!((rooms.of(at(1600), NodeId(1)), rooms.of(at(1600), NodeId(2))), (None, Some(5)));
-    assert_eq!(rooms.heard(at(10_000)), PeerHeadroomCounts::default());
+fn reports_of_an_unresponsive_node_expire() {
+    let mut peers = PeerHeadroom::default();
+    peers.note(at(0), NodeId(1), 80, false);
+    peers.note(at(1000), NodeId(2), 5, true);
+    assert_eq!(peers.counts_from_reports(at(1000)), PeerHeadroomCounts { nodes: 2, busy: 1 });
+    assert_eq!(
+        peers.counts_from_reports(at(1600)),
+        PeerHeadroomCounts { nodes: 1, busy: 1 },
+        "the first report has expired"
+    );
+    assert_eq!((peers.percent_of(at(1600), NodeId(1)), peers.percent_of(at(1600), NodeId(2))), (None, Some(5)));
+    assert_eq!(peers.counts_from_reports(at(10_000)), PeerHeadroomCounts::default());
 }
 
-/// Nodes hear of each other by sums that are made at different moments.
 #[test]
-fn a_sum_counts_before_single_reports_and_as_long_as_these() {
-    let mut rooms = PeerHeadroom::default();
-    rooms.note(at(0), NodeId(1), 80, false);
-    rooms.note_sum(at(100), PeerHeadroomCounts { nodes: 57, busy: 30 });
-    assert_eq!(rooms.all(at(200)), PeerHeadroomCounts { nodes: 57, busy: 30 });
-    rooms.note(at(3000), NodeId(1), 80, false);
-    assert_eq!(rooms.all(at(3000)), PeerHeadroomCounts { nodes: 1, busy: 0 }, "the sum is old");
+fn a_sum_takes_precedence_over_reports_until_it_expires() {
+    let mut peers = PeerHeadroom::default();
+    peers.note(at(0), NodeId(1), 80, false);
+    peers.note_sum(at(100), PeerHeadroomCounts { nodes: 57, busy: 30 });
+    assert_eq!(peers.all(at(200)), PeerHeadroomCounts { nodes: 57, busy: 30 });
+    peers.note(at(3000), NodeId(1), 80, false);
+    assert_eq!(peers.all(at(3000)), PeerHeadroomCounts { nodes: 1, busy: 0 }, "the sum has expired");
 }
 
 #[test]
-fn a_figure_beyond_all_is_taken_as_full_room() {
-    let mut rooms = PeerHeadroom::default();
-    rooms.note(at(0), NodeId(1), 250, false);
-    assert_eq!(rooms.of(at(0), NodeId(1)), Some(100));
+fn a_percentage_above_100_counts_as_full_headroom() {
+    let mut peers = PeerHeadroom::default();
+    peers.note(at(0), NodeId(1), 250, false);
+    assert_eq!(peers.percent_of(at(0), NodeId(1)), Some(100));
 }
