--- a/crates/core/src/dispatch/server.rs
+++ b/crates/core/src/dispatch/server.rs
@@ -145,7 +145,7 @@
 
     /// Free slots for an urgent request beyond the reserved share; it can preempt deferrable
     /// runs.
-    pub(super) fn free_for_urgent(&self, reserve: f64) -> f64 {
+    pub(super) fn free_for_online(&self, reserve: f64) -> f64 {
         self.free_slots(reserve) + f64::from(self.deferrable()).min(self.load())
     }
 
@@ -163,7 +163,7 @@
     /// Seconds until a slot is free for a request. An urgent one can preempt deferrable runs; a
     /// deferrable one leaves the reserve free.
     pub(super) fn wait(&self, cost: &ServiceCost, query: &PlacementQuery<'_>) -> f64 {
-        let free = if query.deferrable { self.free_slots(query.reserve) } else { self.free_for_urgent(query.reserve) };
+        let free = if query.deferrable { self.free_slots(query.reserve) } else { self.free_for_online(query.reserve) };
         let over = 1.0 - free;
         if over <= 0.0 {
             return 0.0;
@@ -182,9 +182,9 @@
     }
 
     /// Free slots on the tracker of the server, whose counts are up to date; deferrable runs
-    /// count as free if `urgent` is set.
-    pub(super) fn exact_free(&self, urgent: bool) -> f64 {
-        let preemptible = if urgent { f64::from(self.deferrable()) } else { 0.0 };
+    /// count as free if `online` is set.
+    pub(super) fn exact_free(&self, online: bool) -> f64 {
+        let preemptible = if online { f64::from(self.deferrable()) } else { 0.0 };
         f64::from(self.state.slots) - (self.counted_requests() - preemptible)
     }
 
@@ -238,14 +238,14 @@
     /// other's reports.
     fn scarcity(&self) -> f64 {
         let ample = AMPLE_SLOTS.min(f64::from(self.state.slots));
-        ((ample - self.free_for_urgent(0.0)) / (ample - 1.0).max(1.0)).clamp(0.0, 2.0)
+        ((ample - self.free_for_online(0.0)) / (ample - 1.0).max(1.0)).clamp(0.0, 2.0)
     }
 
     /// Random sort key for servers of equal cost; emptier and faster ones come first more
     /// often.
     pub(super) fn spread_order(&self, cost: &ServiceCost, query: &PlacementQuery<'_>) -> f64 {
         let free = self.free_slots(0.0).max(MIN_WEIGHT);
-        let weight = if query.deferrable { free } else { free + self.free_for_urgent(0.0).max(0.0) };
+        let weight = if query.deferrable { free } else { free + self.free_for_online(0.0).max(0.0) };
         let hash = stable_pair_hash(u64::from(self.state.key.0), query.spread);
         let chance = (hash as f64 + 1.0) / (u64::MAX as f64 + 2.0);
         -chance.ln() / weight * self.time_factor(cost)
--- a/crates/core/src/dispatch/tracker.rs
+++ b/crates/core/src/dispatch/tracker.rs
@@ -175,7 +175,7 @@
         for id in pass.left.split_off(rest) {
             let Some(server) = self.servers.get(&id) else { continue };
             let Some(tracker) = tracker_of(server.key, trackers) else { continue };
-            let free = self.view(now, server).free_for_urgent(0.0).max(0.0);
+            let free = self.view(now, server).free_for_online(0.0).max(0.0);
             pass.sums.iter_mut().filter(|(node, _)| *node == tracker).for_each(|(_, sum)| *sum += free);
         }
         if pass.left.is_empty() || pass.last_sums.is_empty() {
