--- a/crates/core/src/dispatch/deferrable.rs
+++ b/crates/core/src/dispatch/deferrable.rs
@@ -37,15 +37,15 @@
 pub struct StartBudget {
     allowance: f64,
     filled_at: Option<Instant>,
-    /// Time of the first refill after a pause.
+    /// Time of the first refill after a gap longer than `REPORT_DELAY`.
     resumed_at: Instant,
 }
 
 impl StartBudget {
     /// Adds to the budget for the time since the last refill. `free_slots` is the number of
-    /// runs that could start, and `share`, 0 to 1, the part for this node by the reports of
-    /// other nodes. After a pause these reports may be incomplete; `share` is then limited to
-    /// `even`, the part for each node if all are equal.
+    /// runs that could start, and `share`, 0 to 1, this node's part according to the reports of
+    /// other nodes. After a gap in refills these reports may be incomplete; `share` is then
+    /// limited to `even`, the part of a node if all nodes get equal parts.
     pub fn refill(&mut self, now: Instant, free_slots: f64, share: f64, even: f64) {
         let passed = self.filled_at.map_or(Duration::MAX, |at| now.since(at));
         self.filled_at = Some(now);
@@ -95,8 +95,8 @@
     }
 }
 
-/// Times of the last preemption at each server. Its effect is visible only after other nodes
-/// have reported.
+/// Time of the last preemption at each server. The effect of a preemption is visible only after
+/// other nodes have reported.
 #[derive(Clone, Debug, Default)]
 pub struct RecentPreemptions {
     at: std::collections::HashMap<std::sync::Arc<str>, Instant>,
--- a/crates/core/src/dispatch/server.rs
+++ b/crates/core/src/dispatch/server.rs
@@ -21,14 +21,14 @@
 const REJECTION_AVOID_TIME: Duration = Duration::from_millis(100);
 /// Time without any data from a server with requests in progress after which it is avoided.
 const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_millis(400);
-/// Attempts overtaken in a row, without data from the server, after which the server is
-/// avoided.
+/// Number of consecutive attempts overtaken at other servers, without data from this server,
+/// after which it is avoided.
 const OVERTAKEN_LIMIT: u32 = 2;
 /// Time constant of the exponential decay of a server's failures.
 const FAILURE_DECAY_TIME: Duration = Duration::from_secs(4);
-/// Cost in seconds of each failure that has not decayed.
+/// Cost in seconds for each failure in the decayed failure count.
 const FAILURE_COST: f64 = 0.25;
-/// Number of decayed failures above which a server is reported as suspect.
+/// Decayed failure count above which a server is reported as suspect.
 const SUSPECT_FAILURES: f64 = 1.5;
 /// Cost in seconds of an avoided server, above that of any other.
 const AVOIDED_COST: f64 = 100.0;
@@ -38,14 +38,14 @@
 const MAX_PREFIXES: usize = 512;
 /// Time after which a prefix that was sent counts as evicted.
 const PREFIX_TTL: Duration = Duration::from_secs(60);
-/// Cost of a server with one free slot, in service times: other nodes may take the slot before
-/// their reports arrive here.
+/// Cost of a server with one free slot, as a multiple of the mean service time:
+/// other nodes may take the slot before their reports arrive here.
 const LAST_SLOT_COST: f64 = 0.25;
-/// Number of free slots at which this cost is zero.
+/// Number of free slots from which `LAST_SLOT_COST` no longer applies.
 const AMPLE_SLOTS: f64 = 3.0;
 
-/// Free slots kept by preemption at a server whose other slots all hold deferrable work: some
-/// online requests are reported late.
+/// Number of slots that preemption keeps free at a server where deferrable work holds all other
+/// slots, since reports of new online requests arrive late.
 const MIN_FREE_SLOTS: f64 = 2.0;
 
 /// Cost in seconds, for deferrable work, of a server for which this node is not a preferred
@@ -107,7 +107,7 @@
     failures_in_row: u32,
     /// Attempts in a row that were overtaken without data from the server.
     overtaken_in_row: u32,
-    /// Decayed number of failures at the time of the last one.
+    /// Decayed failure count at `failed_at`.
     failures: f64,
     failed_at: Instant,
     failure_rate: FailureRate,
@@ -143,15 +143,15 @@
         (f64::from(self.state.slots) * (1.0 - reserve)).max(1.0) - self.load()
     }
 
-    /// Free slots for an urgent request beyond the reserved share; it can preempt deferrable
-    /// runs.
+    /// Free slots for an online request beyond the reserved share, counting slots of
+    /// deferrable runs, which can be preempted.
     pub(super) fn free_for_online(&self, reserve: f64) -> f64 {
         self.free_slots(reserve) + f64::from(self.deferrable()).min(self.load())
     }
 
-    /// Whether an urgent request that is sent now has to preempt a deferrable run. The more
-    /// slots deferrable runs hold, the longer the wait until one becomes free by itself, and
-    /// the more free slots are kept by preemption.
+    /// Whether an online request that is sent now has to preempt a deferrable run. The more
+    /// slots deferrable runs hold, the more slots preemption keeps free, since it takes longer
+    /// until a slot becomes free by itself.
     pub(super) fn preempts(&self) -> bool {
         self.free_slots(0.0) < MIN_FREE_SLOTS * f64::from(self.deferrable()) / f64::from(self.state.slots)
     }
@@ -160,8 +160,8 @@
         Congestion::new(self.free_slots(0.0), self.deferrable())
     }
 
-    /// Seconds until a slot is free for a request. An urgent one can preempt deferrable runs; a
-    /// deferrable one leaves the reserve free.
+    /// Seconds until a slot is free for a request. An online request can preempt deferrable
+    /// runs; a deferrable request leaves the reserve free.
     pub(super) fn wait(&self, cost: &ServiceCost, query: &PlacementQuery<'_>) -> f64 {
         let free = if query.deferrable { self.free_slots(query.reserve) } else { self.free_for_online(query.reserve) };
         let over = 1.0 - free;
@@ -181,14 +181,14 @@
         self.state.own_deferrable + self.peers.deferrable
     }
 
-    /// Free slots on the tracker of the server, whose counts are up to date; deferrable runs
-    /// count as free if `online` is set.
+    /// Free slots by the counts of all nodes, which are up to date on the server's tracker.
+    /// Slots of deferrable runs count as free if `online` is set.
     pub(super) fn exact_free(&self, online: bool) -> f64 {
         let preemptible = if online { f64::from(self.deferrable()) } else { 0.0 };
         f64::from(self.state.slots) - (self.counted_requests() - preemptible)
     }
 
-    /// Seconds until a slot is free, on the tracker of the server.
+    /// Seconds until a slot is free, computed from [`Self::exact_free`].
     pub(super) fn exact_wait(&self, cost: &ServiceCost, deferrable: bool) -> f64 {
         let over = (1.0 - self.exact_free(!deferrable)).max(0.0);
         over * cost.service_seconds() / f64::from(self.state.slots) * self.time_factor(cost)
@@ -268,7 +268,7 @@
         self.penalty() >= AVOIDED_COST
     }
 
-    /// Cost in seconds, for deferrable work, of a server with other preferred workers.
+    /// Cost in seconds, for deferrable work, if this node is not a preferred worker of the server.
     pub(super) fn preference_cost(&self) -> f64 {
         if self.state.is_preferred {
             0.0
--- a/crates/core/src/dispatch/tracker.rs
+++ b/crates/core/src/dispatch/tracker.rs
@@ -7,8 +7,8 @@
 //! as a request ends.
 //!
 //! Reservations are advisory. The reports of the nodes replace the tracker's counts, and a node
-//! that gets no reply places the request by its own state. So no consensus is needed, no
-//! reservation leaks, and two trackers of one server do no harm.
+//! that gets no reply places the request using its own load estimates. So no consensus
+//! is needed, no reservation leaks, and two trackers of one server do no harm.
 
 use super::ring::ServerRing;
 use super::{Coverage, Dispatcher, Prompt, ServerKey, ServerShare, ServerView};
@@ -214,7 +214,7 @@
     }
 
     /// Whether the reserve stays free if one more deferrable request starts. It is checked over
-    /// all tracked servers together, since an urgent request may go to any of them.
+    /// all tracked servers together, since an online request may go to any of them.
     fn leaves_reserve_free(&self, now: Instant, query: &TrackerQuery<'_>) -> bool {
         let rings = self.tracked.rings.get(&query.service).into_iter();
         let sampled_servers = rings.flat_map(|ring| ring.sampled_servers(None, query.spread));
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -57,7 +57,7 @@
     pub done: Bitmap,
     /// Items with a committed start, for jobs that must not run items twice.
     pub started: Bitmap,
-    /// Lease request that each started item without a result was last granted to.
+    /// For each started item without a result, the lease request that it was last granted to.
     pub start_requests: HashMap<u64, u64>,
 }
 
--- a/crates/core/src/membership/messages.rs
+++ b/crates/core/src/membership/messages.rs
@@ -24,12 +24,11 @@
     ) {
         let Some(member) = self.members.get(&to) else { return };
         let address = member.record.address.clone();
-        // A member known only from the machine list is asked for its own record
-        // with every probe until the record arrives.
+        // A member that has only a seed record (incarnation 0) is asked for its own
+        // record with every probe until that record arrives.
         let join = join || (!answer && member.record.incarnation == 0);
         let mut updates = self.pick_updates();
-        // A member that is suspect or dead receives that record, so that it can
-        // refute it.
+        // A suspect or dead member is sent its record, so that it can refute it.
         if let Some(member) = self.members.get(&to) {
             if !is_unsuspected(member.record.status()) && !updates.iter().any(|record| record.node == to.0) {
                 updates.push(member.record.clone());
