--- a/crates/core/src/dispatch/tracker.rs
+++ b/crates/core/src/dispatch/tracker.rs
@@ -214,7 +214,7 @@
     }
 
     /// Whether the reserve stays free if one more deferrable request starts. It is checked over
-    /// all tracked servers together, since an online request may go to any of them.
+    /// a sample of the tracked servers together, since an online request may go to any of them.
     fn leaves_reserve_free(&self, now: Instant, query: &TrackerQuery<'_>) -> bool {
         let rings = self.tracked.rings.get(&query.service).into_iter();
         let sampled_servers = rings.flat_map(|ring| ring.sampled_servers(None, query.spread));
