--- a/crates/core/src/dispatch/server.rs
+++ b/crates/core/src/dispatch/server.rs
@@ -33,7 +33,7 @@
 /// Cost in seconds of an avoided server, above that of any other.
 const AVOIDED_COST: f64 = 100.0;
 /// Weight of a server without free slots in the random order of equal servers.
-const MIN_WEIGHT: f64 = 0.1;
+const MIN_SPREAD_WEIGHT: f64 = 0.1;
 /// Largest number of prefixes recorded as cached at one server.
 const MAX_PREFIXES: usize = 512;
 /// Time after which a prefix that was sent counts as evicted.
@@ -46,7 +46,7 @@
 
 /// Number of slots that preemption keeps free at a server where deferrable work holds all other
 /// slots, since reports of new online requests arrive late.
-const MIN_FREE_SLOTS: f64 = 2.0;
+const MAX_SLOTS_KEPT_FREE: f64 = 2.0;
 
 /// Cost in seconds, for deferrable work, of a server for which this node is not a preferred
 /// worker.
@@ -153,7 +153,7 @@
     /// slots deferrable runs hold, the more slots preemption keeps free, since it takes longer
     /// until a slot becomes free by itself.
     pub(super) fn preempts(&self) -> bool {
-        self.free_slots(0.0) < MIN_FREE_SLOTS * f64::from(self.deferrable()) / f64::from(self.state.slots)
+        self.free_slots(0.0) < MAX_SLOTS_KEPT_FREE * f64::from(self.deferrable()) / f64::from(self.state.slots)
     }
 
     pub(super) fn congestion(&self) -> Congestion {
@@ -244,7 +244,7 @@
     /// Random sort key for servers of equal cost; emptier and faster ones come first more
     /// often.
     pub(super) fn spread_order(&self, cost: &ServiceCost, query: &PlacementQuery<'_>) -> f64 {
-        let free = self.free_slots(0.0).max(MIN_WEIGHT);
+        let free = self.free_slots(0.0).max(MIN_SPREAD_WEIGHT);
         let weight = if query.deferrable { free } else { free + self.free_for_online(0.0).max(0.0) };
         let hash = stable_pair_hash(u64::from(self.state.key.0), query.spread);
         let chance = (hash as f64 + 1.0) / (u64::MAX as f64 + 2.0);
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -78,7 +78,7 @@
     }
 
     /// Drops the progress of single items, which an ended job does not need.
-    fn forget_items(&mut self) {
+    fn drop_item_progress(&mut self) {
         self.done = Bitmap::default();
         self.started = Bitmap::default();
         self.start_requests = HashMap::new();
@@ -321,7 +321,7 @@
         if accepted > 0 {
             if job.has_ended() {
                 job.record.ended_seconds = command.at_seconds;
-                job.forget_items();
+                job.drop_item_progress();
             }
             effects.push(put_job(&job.record));
         }
@@ -340,7 +340,7 @@
         }
         job.record.cancelled = true;
         job.record.ended_seconds = command.at_seconds;
-        job.forget_items();
+        job.drop_item_progress();
         Applied { effects: vec![put_job(&job.record)], ..applied(ResultCode::Done, &command.job) }
     }
 
--- a/crates/core/tests/deferrable.rs
+++ b/crates/core/tests/deferrable.rs
@@ -143,7 +143,7 @@
 
 /// Urgent requests alternate between one fifth and three fifths of all slots. A front that
 /// sends all of them reports to the nodes.
-fn urgent_at(step: u64) -> u32 {
+fn online_at(step: u64) -> u32 {
     let burst = (step / BURST_STEPS) % 2 == 1;
     SERVERS as u32 * SLOTS * if burst { 3 } else { 1 } / 5
 }
@@ -156,7 +156,7 @@
     let mut outcome = Outcome::default();
     let prompt = Prompt::default();
     for step in 0..STEPS {
-        while (front.runs.len() as u32) < urgent_at(step) {
+        while (front.runs.len() as u32) < online_at(step) {
             let query = PlacementQuery {
                 service: "s",
                 prompt: &prompt,
@@ -170,7 +170,7 @@
             front.dispatcher.note_sent(now(step), &placement, &prompt);
             front.runs.push(Run { placement, ends: u64::MAX });
         }
-        while front.runs.len() as u32 > urgent_at(step) {
+        while front.runs.len() as u32 > online_at(step) {
             let run = front.runs.remove(random.random_range(0..front.runs.len()));
             front.end(step, &run, Ending::Answered);
         }
--- a/crates/core/tests/simulation/upkeep.rs
+++ b/crates/core/tests/simulation/upkeep.rs
@@ -59,8 +59,8 @@
         let change = next_members(health);
         let mut commands = Vec::new();
         if let Some(leasing) = running.leasing.as_mut() {
-            let lapsed = leasing.expire(now, &running.state, |node| alive_nodes.contains(&node.0));
-            commands.extend(lapsed.unknown.iter().map(|(job, positions)| outcome_unknown_command(job, positions)));
+            let expired = leasing.expire(now, &running.state, |node| alive_nodes.contains(&node.0));
+            commands.extend(expired.unknown.iter().map(|(job, positions)| outcome_unknown_command(job, positions)));
         }
         let mut actions = Vec::new();
         if let Some(members) = change {
