--- a/crates/core/src/dispatch/cost.rs
+++ b/crates/core/src/dispatch/cost.rs
@@ -67,7 +67,8 @@
     service_seconds: f64,
     /// Seconds between two pieces of an answer at the usual speed; `None` without an estimate.
     step_seconds: Option<f64>,
-    /// Validity of reported slowdowns; `None` if no server of the service reports any.
+    /// Weight of a reported slowdown by its age; `None` if no server of the service reports
+    /// slowdowns.
     pub(super) slowdown_validity: Option<SlowdownValidity>,
 }
 
--- a/crates/core/src/dispatch/deferrable.rs
+++ b/crates/core/src/dispatch/deferrable.rs
@@ -8,15 +8,15 @@
 use crate::time::Instant;
 use std::time::Duration;
 
-/// Time until other nodes have received a report of what was started. Higher values leave slots
-/// unused, lower ones cause more preemption.
+/// Time until other nodes have received a report of a started or preempted run.
 const REPORT_DELAY: Duration = Duration::from_millis(450);
 /// Share of each server's slots that new deferrable work leaves free for online requests.
 const EARLY_RESERVE: f64 = 0.12;
 /// Share of the slots that deferrable work close to its due time leaves free: not zero, since
 /// an online request without a free slot waits until the preemption is done.
 const LATE_RESERVE: f64 = 0.05;
-/// Share of the time to the due time after which the reserve is smallest.
+/// Share of the time from the acceptance of a job to its due time after which the reserve is
+/// smallest.
 const LATE_SHARE: f64 = 0.6;
 
 /// Returns the share of each server's slots that overdue work leaves free: the same as new
--- a/crates/core/src/dispatch/server.rs
+++ b/crates/core/src/dispatch/server.rs
@@ -30,9 +30,10 @@
 const FAILURE_COST: f64 = 0.25;
 /// Decayed failure count above which a server is reported as suspect.
 const SUSPECT_FAILURES: f64 = 1.5;
-/// Cost in seconds of an avoided server, above that of any other.
+/// Cost in seconds added for an avoided server; a server with at least this penalty counts as
+/// avoided.
 const AVOIDED_COST: f64 = 100.0;
-/// Weight of a server without free slots in the random order of equal servers.
+/// Smallest weight of a server in the random order of servers of equal cost.
 const MIN_SPREAD_WEIGHT: f64 = 0.1;
 /// Largest number of prefixes recorded as cached at one server.
 const MAX_PREFIXES: usize = 512;
@@ -44,8 +45,9 @@
 /// Number of free slots from which `LAST_SLOT_COST` no longer applies.
 const AMPLE_SLOTS: f64 = 3.0;
 
-/// Number of slots that preemption keeps free at a server where deferrable work holds all other
-/// slots, since reports of new online requests arrive late.
+/// Largest number of slots that preemption keeps free at a server, since reports of new online
+/// requests arrive late. The number is proportional to the share of slots that deferrable runs
+/// hold.
 const MAX_SLOTS_KEPT_FREE: f64 = 2.0;
 
 /// Cost in seconds, for deferrable work, of a server for which this node is not a preferred
@@ -233,7 +235,7 @@
         self.prefill(cost, uncached) + self.scarcity() * cost.service_seconds() * LAST_SLOT_COST
     }
 
-    /// Scarcity of free slots: 0 with ample ones, 1 with one left. Servers with ample slots
+    /// Scarcity of free slots: 0 with ample ones, 1 with one left, at most 2. Servers with ample slots
     /// have equal cost, or all nodes would choose the emptiest one before they receive each
     /// other's reports.
     fn scarcity(&self) -> f64 {
--- a/crates/core/src/dispatch/speeds.rs
+++ b/crates/core/src/dispatch/speeds.rs
@@ -1,5 +1,6 @@
-//! Speed data of servers, from responses to this node and from the updates that other nodes
-//! send to the tracker of a server.
+//! Speed data of servers: their slowdown and step time (time between two pieces of an answer),
+//! from responses to this node and from the updates that other nodes send to the tracker of a
+//! server.
 
 use super::slowdown::SpeedUpdate;
 use super::{Dispatcher, Placement, ServerShare};
--- a/crates/core/src/dispatch/tracker.rs
+++ b/crates/core/src/dispatch/tracker.rs
@@ -19,8 +19,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Cost in seconds of preempting a deferrable run: a datagram to its worker, which closes a
-/// connection.
+/// Cost in seconds of preempting a deferrable run: the time to send a datagram to the worker of
+/// the run and to close the connection there.
 const PREEMPTION_COST: f64 = 0.004;
 
 /// Servers whose free slots are added up in one call. With a call each 150 ms, a pass over
@@ -67,7 +67,8 @@
         /// Node that has to stop a deferrable run at the server.
         preempts: Option<NodeId>,
     },
-    /// No server is available within the wait limit; contains the expected wait.
+    /// No server is available within the wait limit; contains the expected wait, or the retry
+    /// time if a deferrable request would take a slot of the reserve.
     Full(Duration),
     /// This node tracks no server of the service.
     TracksNone,
@@ -92,7 +93,7 @@
     /// Servers that are left in this pass.
     left: Vec<Arc<str>>,
     sums: Vec<(NodeId, f64)>,
-    /// Result of the last complete pass, or of the first part of the first one.
+    /// Sums of the last complete pass; partial until the first pass is complete.
     last_sums: Vec<(NodeId, f64)>,
 }
 
@@ -227,7 +228,7 @@
         free - 1.0 >= slots * query.reserve
     }
 
-    /// Selects the tracked server with the earliest expected first token.
+    /// Selects the server with the lowest cost from a sample of the tracked servers.
     fn choose_tracked(&self, now: Instant, query: &TrackerQuery<'_>) -> Option<TrackedChoice> {
         let ring = self.tracked.rings.get(&query.service)?;
         // The tracked servers may include one that was removed since they were computed.
