--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -90,7 +90,7 @@
     }
 }
 
-/// The state of one store group.
+/// State of one store group: files, jobs, and requests that may run only once.
 #[derive(Clone, Debug, Default)]
 pub struct JobState {
     files: HashMap<String, FileRecord>,
@@ -206,7 +206,7 @@
         };
         let first = command.items.first().map_or(file.items, |item| item.position);
         if first < file.items {
-            // A repeated part. The next part and the seal carry a hash of the whole
+            // This part was added before. The next part and the seal carry a hash of the whole
             // content, so different content is detected there.
             return applied(ResultCode::Done, &command.file);
         }
--- a/crates/core/src/membership/records.rs
+++ b/crates/core/src/membership/records.rs
@@ -54,7 +54,8 @@
         if !supersedes {
             return;
         }
-        // Compares all but the incarnation: seeds lack fields that records have.
+        // A higher incarnation alone is no change. All other fields are compared, since a node's
+        // own record has fields that its seed lacks, such as the replica.
         let changed = self.members.get(&node).is_none_or(|member| {
             let old = MemberRecord { incarnation: record.incarnation, ..member.record.clone() };
             old != record
--- a/crates/core/src/preemption.rs
+++ b/crates/core/src/preemption.rs
@@ -17,7 +17,8 @@
     pub overdue: bool,
     /// Due time of the job, in milliseconds since 1970.
     pub due_ms: u64,
-    /// Expected end of the run without pauses; its start, if no estimate exists.
+    /// Expected end of the run if it is not preempted; the start of the run if no estimate
+    /// exists.
     pub expected_end: Instant,
     /// Whether an earlier run of the item was preempted.
     pub preempted_before: bool,
