--- a/crates/core/tests/deferrable.rs
+++ b/crates/core/tests/deferrable.rs
@@ -141,7 +141,7 @@
     }
 }
 
-/// Urgent requests alternate between one fifth and three fifths of all slots. A front that
+/// Online requests alternate between one fifth and three fifths of all slots. A front that
 /// sends all of them reports to the nodes.
 fn online_at(step: u64) -> u32 {
     let burst = (step / BURST_STEPS) % 2 == 1;
@@ -202,14 +202,14 @@
     outcome.waiting += loads.values().map(|load| u64::from(load.saturating_sub(SLOTS))).sum::<u64>();
 }
 
-/// Deferrable work uses most of the slots that urgent requests leave, with few preemptions and
-/// without long waits of urgent requests.
+/// Deferrable work uses most of the slots that online requests leave, with few preemptions and
+/// without long waits of online requests.
 #[test]
 fn late_reports_cause_few_preemptions_and_short_waits() {
     for seed in 0..5 {
         let outcome = play(seed);
         let slots = u64::from(SERVERS as u32 * SLOTS);
-        // Slots left by urgent requests, over all steps.
+        // Slots left by online requests, over all steps.
         let possible = slots * STEPS * 3 / 5;
         let (used, preempted) = (outcome.used, outcome.preempted);
         let waiting = outcome.waiting as f64 / STEPS as f64;
--- a/crates/core/tests/dispatch.rs
+++ b/crates/core/tests/dispatch.rs
@@ -363,7 +363,7 @@
     }
 }
 
-/// An urgent request may be placed at a server full of deferrable runs; the placement states
+/// An online request may be placed at a server full of deferrable runs; the placement states
 /// whether one has to be preempted.
 #[test]
 fn urgent_requests_can_preempt_deferrable_runs() {
--- a/crates/core/tests/simulation/upkeep.rs
+++ b/crates/core/tests/simulation/upkeep.rs
@@ -1,4 +1,4 @@
-//! Periodic work of a leader: replacing members and expiring leases.
+//! Periodic work of a leader: replacing lost members and expiring leases.
 
 use super::machine::{node_of, Waiter};
 use super::world::{MachineNumber, World};
