--- a/crates/core/src/dispatch/deferrable.rs
+++ b/crates/core/src/dispatch/deferrable.rs
@@ -8,15 +8,15 @@
 use crate::time::Instant;
 use std::time::Duration;
 
-/// Time until other nodes have received a report of what was started. Higher values leave slots
-/// unused, lower ones cause more preemption.
+/// Time until other nodes have received a report of a started or preempted run.
 const REPORT_DELAY: Duration = Duration::from_millis(450);
 /// Share of each server's slots that new deferrable work leaves free for online requests.
 const EARLY_RESERVE: f64 = 0.12;
 /// Share of the slots that deferrable work close to its due time leaves free: not zero, since
 /// an online request without a free slot waits until the preemption is done.
 const LATE_RESERVE: f64 = 0.05;
-/// Share of the time to the due time after which the reserve is smallest.
+/// Share of the time from the acceptance of a job to its due time after which the reserve is
+/// smallest.
 const LATE_SHARE: f64 = 0.6;
 
 /// Returns the share of each server's slots that overdue work leaves free: the same as new
@@ -37,15 +37,15 @@
 pub struct StartBudget {
     allowance: f64,
     filled_at: Option<Instant>,
-    /// Time of the first refill after a pause.
+    /// Time of the first refill after a gap longer than `REPORT_DELAY`.
     resumed_at: Instant,
 }
 
 impl StartBudget {
     /// Adds to the budget for the time since the last refill. `free_slots` is the number of
-    /// runs that could start, and `share`, 0 to 1, the part for this node by the reports of
-    /// other nodes. After a pause these reports may be incomplete; `share` is then limited to
-    /// `even`, the part for each node if all are equal.
+    /// runs that could start, and `share`, 0 to 1, this node's part according to the reports of
+    /// other nodes. After a gap in refills these reports may be incomplete; `share` is then
+    /// limited to `even`, the part of a node if all nodes get equal parts.
     pub fn refill(&mut self, now: Instant, free_slots: f64, share: f64, even: f64) {
         let passed = self.filled_at.map_or(Duration::MAX, |at| now.since(at));
         self.filled_at = Some(now);
@@ -95,8 +95,8 @@
     }
 }
 
-/// Times of the last preemption at each server. Its effect is visible only after other nodes
-/// have reported.
+/// Time of the last preemption at each server. The effect of a preemption is visible only after
+/// other nodes have reported.
 #[derive(Clone, Debug, Default)]
 pub struct RecentPreemptions {
     at: std::collections::HashMap<std::sync::Arc<str>, Instant>,
--- a/crates/core/src/jobs/mod.rs
+++ b/crates/core/src/jobs/mod.rs
@@ -57,7 +57,7 @@
     pub done: Bitmap,
     /// Items with a committed start, for jobs that must not run items twice.
     pub started: Bitmap,
-    /// Lease request that each started item without a result was last granted to.
+    /// For each started item without a result, the lease request that it was last granted to.
     pub start_requests: HashMap<u64, u64>,
 }
 
@@ -78,7 +78,7 @@
     }
 
     /// Drops the progress of single items, which an ended job does not need.
-    fn forget_items(&mut self) {
+    fn drop_item_progress(&mut self) {
         self.done = Bitmap::default();
         self.started = Bitmap::default();
         self.start_requests = HashMap::new();
@@ -90,7 +90,7 @@
     }
 }
 
-/// The state of one store group.
+/// State of one store group: files, jobs, and requests that may run only once.
 #[derive(Clone, Debug, Default)]
 pub struct JobState {
     files: HashMap<String, FileRecord>,
@@ -206,7 +206,7 @@
         };
         let first = command.items.first().map_or(file.items, |item| item.position);
         if first < file.items {
-            // A repeated part. The next part and the seal carry a hash of the whole
+            // This part was added before. The next part and the seal carry a hash of the whole
             // content, so different content is detected there.
             return applied(ResultCode::Done, &command.file);
         }
@@ -321,7 +321,7 @@
         if accepted > 0 {
             if job.has_ended() {
                 job.record.ended_seconds = command.at_seconds;
-                job.forget_items();
+                job.drop_item_progress();
             }
             effects.push(put_job(&job.record));
         }
@@ -340,7 +340,7 @@
         }
         job.record.cancelled = true;
         job.record.ended_seconds = command.at_seconds;
-        job.forget_items();
+        job.drop_item_progress();
         Applied { effects: vec![put_job(&job.record)], ..applied(ResultCode::Done, &command.job) }
     }
 
--- a/crates/core/tests/deferrable.rs
+++ b/crates/core/tests/deferrable.rs
@@ -141,9 +141,9 @@
     }
 }
 
-/// Urgent requests alternate between one fifth and three fifths of all slots. A front that
+/// Online requests alternate between one fifth and three fifths of all slots. A front that
 /// sends all of them reports to the nodes.
-fn urgent_at(step: u64) -> u32 {
+fn online_at(step: u64) -> u32 {
     let burst = (step / BURST_STEPS) % 2 == 1;
     SERVERS as u32 * SLOTS * if burst { 3 } else { 1 } / 5
 }
@@ -156,7 +156,7 @@
     let mut outcome = Outcome::default();
     let prompt = Prompt::default();
     for step in 0..STEPS {
-        while (front.runs.len() as u32) < urgent_at(step) {
+        while (front.runs.len() as u32) < online_at(step) {
             let query = PlacementQuery {
                 service: "s",
                 prompt: &prompt,
@@ -170,7 +170,7 @@
             front.dispatcher.note_sent(now(step), &placement, &prompt);
             front.runs.push(Run { placement, ends: u64::MAX });
         }
-        while front.runs.len() as u32 > urgent_at(step) {
+        while front.runs.len() as u32 > online_at(step) {
             let run = front.runs.remove(random.random_range(0..front.runs.len()));
             front.end(step, &run, Ending::Answered);
         }
@@ -202,14 +202,14 @@
     outcome.waiting += loads.values().map(|load| u64::from(load.saturating_sub(SLOTS))).sum::<u64>();
 }
 
-/// Deferrable work uses most of the slots that urgent requests leave, with few preemptions and
-/// without long waits of urgent requests.
+/// Deferrable work uses most of the slots that online requests leave, with few preemptions and
+/// without long waits of online requests.
 #[test]
 fn late_reports_cause_few_preemptions_and_short_waits() {
     for seed in 0..5 {
         let outcome = play(seed);
         let slots = u64::from(SERVERS as u32 * SLOTS);
-        // Slots left by urgent requests, over all steps.
+        // Slots left by online requests, over all steps.
         let possible = slots * STEPS * 3 / 5;
         let (used, preempted) = (outcome.used, outcome.preempted);
         let waiting = outcome.waiting as f64 / STEPS as f64;
