--- a/crates/proxy/tests/turns.rs
+++ b/crates/proxy/tests/turns.rs
@@ -72,7 +72,7 @@
     let (other_name, address, aggregates) = other;
     let peers = Peers::default();
     peers.put(other_name, Peer { address, aggregates, defers: false });
-    let duties = PeerDuties { says_hello: false, aggregates: !aggregates, sum_bytes_per_second: 1e6 };
+    let duties = PeerDuties { sends_heartbeat: false, aggregates: !aggregates, sum_bytes_per_second: 1e6 };
     let shared = shared.clone();
     tokio::spawn(async move { exchange_shares(shared, socket, name, duties, peers).await })
 }
@@ -185,7 +185,7 @@
 async fn hear(keeper: Arc<Shared<TestDialect>>, front: Arc<Shared<TestDialect>>) {
     for news in 1.. {
         front.dispatcher().set_waiting(news);
-        keeper.dispatcher().note_heard(keeper.clock.now(), "one");
+        keeper.dispatcher().note_contact(keeper.clock.now(), "one");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
--- a/crates/records/src/watch_cache.rs
+++ b/crates/records/src/watch_cache.rs
@@ -19,10 +19,10 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request, Response, StatusCode};
 use latchwheel_clock::Clock;
-use latchwheel_core::record_source::{PollWait, RecordSource, SourceChoice, UpstreamState};
-use latchwheel_core::start_snapshot::Knowledge;
-use latchwheel_events::{emit, set_known_records, Event};
-use latchwheel_http::{empty, full, read_bounded, serve, AnswerTimes, Body, Client, Version};
+use latchwheel_core::record_source::{PollCondition, RecordSource, SourceSelector, UpstreamState};
+use latchwheel_core::startup_snapshot::RecordState;
+use latchwheel_events::{emit, set_known_record_ages, Event};
+use latchwheel_http::{empty, full, read_bounded, serve, AnswerTimeouts, Body, Client, Version};
 use latchwheel_protocol::{v1, Message};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -65,7 +65,7 @@
     upstreams: Vec<String>,
     pub(crate) entries: Mutex<BTreeMap<String, Entry>>,
     lists: Mutex<ListBudget>,
-    choice: Mutex<SourceChoice>,
+    choice: Mutex<SourceSelector>,
     source: watch::Sender<RecordSource>,
     /// Counts changes, so that polls that wait look again.
     changed: watch::Sender<u64>,
@@ -100,7 +100,7 @@
         list_bytes_per_second: f64,
     ) -> Arc<Self> {
         let clock = Clock::start();
-        let choice = SourceChoice::new(upstreams.len(), spread, clock.now());
+        let choice = SourceSelector::new(upstreams.len(), spread, clock.now());
         let cache = Arc::new(Self {
             store,
             contact,
@@ -156,7 +156,7 @@
     pub fn tell_origins(&self) {
         let entries = lock(&self.entries);
         let known = entries.iter().filter_map(|(prefix, entry)| Some((&**prefix, entry.origin()?.word(), entry.age())));
-        set_known_records(known);
+        set_known_record_ages(known);
     }
 
     /// Answers other nodes at this address.
@@ -211,7 +211,7 @@
         let mut changed = self.changed.subscribe();
         let mut regained = self.contact.regains();
         let is_ready = || {
-            let has_news = if asked.until_sound { self.state_for(asked).is_sound() } else { self.has_news(asked) };
+            let has_news = if asked.until_sound { self.state_for(asked).is_reliable() } else { self.has_news(asked) };
             has_news || self.has_kept_news(asked) || self.may_want(asked)
         };
         while !is_ready() {
@@ -315,12 +315,12 @@
     }
 
     async fn poll_upstreams(self: Arc<Self>) {
-        let client = Client::http1_renewing();
+        let client = Client::http1_reconnecting();
         loop {
             let started = Instant::now();
             let (upstream, wait) = {
                 let choice = lock(&self.choice);
-                (choice.upstream().and_then(|number| self.upstreams.get(number)), choice.poll_wait())
+                (choice.upstream().and_then(|number| self.upstreams.get(number)), choice.poll_condition())
             };
             let Some(upstream) = upstream else { return };
             let polled = tokio::select! {
@@ -342,8 +342,8 @@
 
     fn set_source(&self, upstream: &str, polled: Option<UpstreamState>) {
         let source = lock(&self.choice).source();
-        if let (RecordSource::Store, Some(state)) = (source, polled.filter(UpstreamState::store_is_away)) {
-            self.contact.note_told_away(state.age.max(state.outage));
+        if let (RecordSource::Store, Some(state)) = (source, polled.filter(UpstreamState::store_is_unreachable)) {
+            self.contact.note_upstream_unreachable(state.age.max(state.outage));
         }
         let changed = self.source.send_if_modified(|present| std::mem::replace(present, source) != source);
         if changed {
@@ -353,15 +353,15 @@
 
     /// Polls an upstream once, and takes over what it tells if that can be
     /// relied on, or if nothing is known here. `None` if it gave no answer.
-    async fn poll(&self, client: &Client, upstream: &str, wait_for: PollWait) -> Option<UpstreamState> {
-        let wait = if wait_for == PollWait::Nothing { Duration::ZERO } else { POLL_WAIT };
-        let asked = self.request(wait, wait_for == PollWait::Soundness);
+    async fn poll(&self, client: &Client, upstream: &str, wait_for: PollCondition) -> Option<UpstreamState> {
+        let wait = if wait_for == PollCondition::Nothing { Duration::ZERO } else { POLL_WAIT };
+        let asked = self.request(wait, wait_for == PollCondition::Reliable);
         let body = Bytes::from(asked.encode_to_vec());
         let pause = wait + POLL_MARGIN;
         let starts = asked.positions.iter().any(|position| position.revision == 0);
         let asked_at = Instant::now();
-        let times = AnswerTimes { pause, whole: if starts { FIRST_ANSWER_TIME } else { pause } };
-        let answer = client.call_moving(Method::POST, upstream, CACHE_PATH, body, times).await.ok()?;
+        let times = AnswerTimeouts { idle: pause, total: if starts { FIRST_ANSWER_TIME } else { pause } };
+        let answer = client.call_with_timeouts(Method::POST, upstream, CACHE_PATH, body, times).await.ok()?;
         let mut answer = v1::RecordsAnswer::decode(answer).ok()?;
         let ages = PrefixAges::read(&mut answer, asked_at);
         let prefixes = prefixes_of(&mut answer);
@@ -372,7 +372,7 @@
             defers: answer.deferred,
             behind: self.is_ahead_of(&prefixes),
         };
-        let sound = state.is_sound();
+        let sound = state.is_reliable();
         if sound {
             self.contact.note_told(Duration::from_millis(u64::from(answer.answering_ms)));
         }
@@ -413,7 +413,7 @@
             prefix: prefix.clone(),
             revision: entry.cached.revision(),
             newest_record: entry.cached.newest_record(),
-            kept: matches!(entry.knowledge(), Knowledge::Kept(_)),
+            kept: matches!(entry.knowledge(), RecordState::Stored(_)),
         });
         v1::RecordsRequest {
             positions: positions.collect(),
--- a/crates/store/src/group/runner.rs
+++ b/crates/store/src/group/runner.rs
@@ -199,7 +199,7 @@
             Request::Installed(None) => self.core.state_pull_failed(),
             Request::Present(present) => self.note_present(now, present),
             Request::Rows(rows) => self.rows = rows,
-            Request::HandOver => actions.extend(self.core.handle(now, Event::HandOver)),
+            Request::HandOver => actions.extend(self.core.handle(now, Event::TransferLeadership)),
             Request::Stop => {}
         }
         Ok(())
@@ -245,7 +245,7 @@
         };
         for returned in &request.returned {
             if let Some(job) = self.state.job(&returned.job) {
-                desk.leasing.returned(NodeId(request.node), returned, job);
+                desk.leasing.return_items(NodeId(request.node), returned, job);
             }
         }
         let at_seconds = wall_seconds();
--- a/crates/store/src/group/upkeep.rs
+++ b/crates/store/src/group/upkeep.rs
@@ -6,7 +6,7 @@
 use crate::lease_desk::unknown_results;
 use crate::proposals::Waiter;
 use latchwheel_core::identity::NodeId;
-use latchwheel_core::replication::replacement::{next_members, Situation};
+use latchwheel_core::replication::replacement::{next_members, GroupHealth};
 use latchwheel_core::replication::{Action, Event, Role};
 use latchwheel_core::time::Instant;
 use latchwheel_protocol::v1::command::Body;
@@ -74,15 +74,15 @@
             .map(|(replica, _)| *replica)
             .collect();
         let caught_up = self.core.caught_up_learners();
-        let situation = Situation {
+        let health = GroupHealth {
             members: self.core.members(),
-            present: &self.present.replicas,
+            live: &self.present.replicas,
             lost: &lost,
             caught_up: &caught_up,
-            wanted: self.wanted,
+            target_voters: self.wanted,
             leader: self.me,
         };
-        if let Some(members) = next_members(situation) {
+        if let Some(members) = next_members(health) {
             log::info!(target: "E6102", "store group {}: members become {:?}", self.group, members.replicas);
             actions.extend(self.core.handle(now, Event::ProposeMembers(members)));
         }
